--- a/src/main/java/pumicekeel/AdaptiveBalancer.java
+++ b/src/main/java/pumicekeel/AdaptiveBalancer.java
@@ -1,7 +1,5 @@
 package pumicekeel;
 
-import pumicekeel.Window.Metric;
-import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -12,98 +10,186 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import java.util.function.Consumer;
+import pumicekeel.Window.Metric;
 
 /**
- * Every decision of a balancer; its interface is in Balancer.java. Ordinary path: {@link #admit} refuses what
- * exceeds the key's allowed rate, {@link #place} picks an upstream by bounded load, {@link #send} starts the
- * attempt, {@link #learn} takes its latency.
+ * Every decision of a balancer; its interface is in Balancer.java. Ordinary path: {@link #admit}
+ * refuses what exceeds the key's allowed rate, {@link #place} picks an upstream by bounded load,
+ * {@link #send} starts the attempt, {@link #learn} takes its latency.
  */
 public final class AdaptiveBalancer implements Balancer {
 
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1000 * MS;
-  /** The window in longest aims, a second at least: long enough for a mean, short enough to see it change. */
+
+  /**
+   * The window in longest aims, a second at least: long enough for a mean, short enough to see it
+   * change.
+   */
   private static final double WINDOW_AIMS = 2;
+
   /** The line, in parts of the class's aim: half an aim is healthy, one and a half critical. */
   private static final double MIN_VALUE = 0.5;
+
   private static final double MAX_VALUE = 1.5;
-  /** maxRate is what the key was offered in the window and a tenth more; minRate this part of it. */
+
+  /**
+   * maxRate is what the key was offered in the window and a tenth more; minRate this part of it.
+   */
   private static final double HEADROOM = 1.1;
+
   private static final double MIN_PART = 0.02;
-  /** The line of worthless excess lies at this part of the latencies: gone before in-share work suffers. */
+
+  /**
+   * The line of worthless excess lies at this part of the latencies: gone before in-share work
+   * suffers.
+   */
   private static final double EXCESS_EARLY = 0.2;
-  /** A key with fewer samples goes by its endpoint (class, tenant, inside or over the quota), that one by all
-   * work inside or over quotas, so many windows back: few samples would let every window's first one pass. */
+
+  /**
+   * A key with fewer samples goes by its endpoint (class, tenant, inside or over the quota), that
+   * one by all work inside or over quotas, so many windows back: few samples would let every
+   * window's first one pass.
+   */
   private static final int ENOUGH = 10;
+
   private static final int REACH = 5;
-  /** Requests that a tenant's bucket holds at least: chance alone would call a small share's work excess. */
+
+  /**
+   * Requests that a tenant's bucket holds at least: chance alone would call a small share's work
+   * excess.
+   */
   private static final double QUOTA_LEAST = 3;
+
   /** Keys kept; the one idle longest goes first. */
   private static final int MAX_KEYS = 20_000;
-  /** Windows that teach the usual in-flight (a crowd forms faster); step of usual latency and hint. */
+
+  /**
+   * Windows that teach the usual in-flight (a crowd forms faster); step of usual latency and hint.
+   */
   private static final double USUAL_WINDOWS = 2;
+
   private static final double USUAL_STEP = 0.005;
+
   /** Bounded load: an upstream may hold half more than the mean of in-flight requests. */
   private static final double SLACK = 0.5;
-  /** Bounded load also counts in-flight time over this long: hundreds of balancers with hardly one request
-   * out each are bound by nothing, and all would crowd the same keys' upstreams. */
+
+  /**
+   * Bounded load also counts in-flight time over this long: hundreds of balancers with hardly one
+   * request out each are bound by nothing, and all would crowd the same keys' upstreams.
+   */
   private static final long HISTORY = 10 * SECOND;
+
   private static final double HISTORY_SLACK = 1;
-  /** Mean of in-flight requests an upstream under which the view is sparse and history counts. A failed or
-   * full attempt counts this many aims: a crowded upstream rests, a failing one does not look idle. */
+
+  /**
+   * Mean of in-flight requests an upstream under which the view is sparse and history counts. A
+   * failed or full attempt counts this many aims: a crowded upstream rests, a failing one does not
+   * look idle.
+   */
   private static final double SPARSE = 0.12;
+
   private static final double FAILED_AIMS = 4;
+
   /** A key goes to this many upstreams, and to this many times its share of all as well. */
   private static final int KEY_SPREAD = 2;
+
   private static final double KEY_PARTS = 2;
-  /** Room: in-flight requests at which the mean latency would be this part of the aim (Little's law); never
-   * below the least, or no upstream could show that it is idle. */
+
+  /**
+   * Room: in-flight requests at which the mean latency would be this part of the aim (Little's
+   * law); never below the least, or no upstream could show that it is idle.
+   */
   private static final double ROOM_PART = 0.36;
+
   private static final int ROOM_LEAST = 2;
-  /** Time out of a balancer's hands that is not the attempt's latency counts from so many ticks on. */
+
+  /**
+   * Time out of a balancer's hands that is not the attempt's latency counts from so many ticks on.
+   */
   private static final int OURS_TICKS = 3;
-  /** A request without an upstream is held for this part of its aim, then refused: still early. And held ones
-   * tried in vain after an outcome: bounds the work where nothing has room. */
+
+  /**
+   * A request without an upstream is held for this part of its aim, then refused: still early. And
+   * held ones tried in vain after an outcome: bounds the work where nothing has room.
+   */
   private static final double HOLD_PART = 0.3;
+
   private static final int HELD_TRIES = 4;
-  /** Silent: no answer for this many usual gaps between its answers and this part of the shortest aim. */
+
+  /**
+   * Silent: no answer for this many usual gaps between its answers and this part of the shortest
+   * aim.
+   */
   private static final double SILENT_GAPS = 8;
+
   private static final double SILENT_PART = 0.3;
-  /** And so many times what attempts at it usually spend in this balancer: pauses are seldom even. */
+
+  /**
+   * And so many times what attempts at it usually spend in this balancer: pauses are seldom even.
+   */
   private static final double SILENT_OWN = 2;
-  /** Second copies earned by an admission and by a copy that wins, and the most saved: losing ones stop. */
+
+  /**
+   * Second copies earned by an admission and by a copy that wins, and the most saved: losing ones
+   * stop.
+   */
   private static final double HEDGE_SHARE = 0.01;
+
   private static final double HEDGE_WIN = 1.3;
   private static final double HEDGE_MOST = 20;
+
   /** Retries earned by a request admitted: failures may add a fifth to the load. */
   private static final double RETRY_SHARE = 0.2;
+
   /** A hinted request counts for this many mean ones at most, and no less than its inverse. */
   private static final double HINT_MOST = 4;
-  /** Ring points of an upstream of ordinary weight: within some 15% of an even spread, the bound does more.
-   * A weight counts for this many times the median at most, and no less than its inverse. */
+
+  /**
+   * Ring points of an upstream of ordinary weight: within some 15% of an even spread, the bound
+   * does more. A weight counts for this many times the median at most, and no less than its
+   * inverse.
+   */
   private static final int POINTS = 50;
+
   private static final double WEIGHT_MOST = 4;
-  /** Period of the sweep while requests are held: short against any aim, long against a tick. And while
-   * attempts are out, in parts of the shortest aim: a timer costs as much as a request. */
+
+  /**
+   * Period of the sweep while requests are held: short against any aim, long against a tick. And
+   * while attempts are out, in parts of the shortest aim: a timer costs as much as a request.
+   */
   private static final long SWEEP = 10 * MS;
+
   private static final int SWEEPS_PER_AIM = 8;
-  /** Failures in a row that eject an upstream, the first and the longest ejection. With more than this share
-   * of the ready upstreams ejected or silent, both are ignored (panic threshold). */
+
+  /**
+   * Failures in a row that eject an upstream, the first and the longest ejection. With more than
+   * this share of the ready upstreams ejected or silent, both are ignored (panic threshold).
+   */
   private static final int EJECT_AFTER = 3;
+
   private static final long EJECT_FIRST = SECOND / 2;
   private static final long EJECT_MOST = 8 * SECOND;
   private static final double PANIC_SHARE = 0.5;
-  /** Back-off of calls for the list, a service that all balancers share. What a silent watch misses counts as
-   * told 6 s after it fell silent, which is noticed after 4.5 s; half a second has to be left for the call.
-   * And where it is pushed, in parts of the drain grace: what came meanwhile counts as told, and who is
-   * asked then has no others to serve. */
+
+  /**
+   * Back-off of calls for the list, a service that all balancers share. What a silent watch misses
+   * counts as told 6 s after it fell silent, which is noticed after 4.5 s; half a second has to be
+   * left for the call. And where it is pushed, in parts of the drain grace: what came meanwhile
+   * counts as told, and who is asked then has no others to serve.
+   */
   private static final long ASK_FIRST = SECOND / 2;
+
   private static final long ASK_MOST = 6 * SECOND - 9 * SECOND / 2 - SECOND / 2;
   private static final double ASK_PUSHED = 0.2;
-  /** Share of the cold budget's window that may be saved; sends a second that a cold upstream may always get
-   * from all balancers together, and so many saved; how long usual sends are kept: longer than most outages.
+
+  /**
+   * Share of the cold budget's window that may be saved; sends a second that a cold upstream may
+   * always get from all balancers together, and so many saved; how long usual sends are kept:
+   * longer than most outages.
    */
   private static final double SLOW_START_BURST = 0.25;
+
   private static final double SLOW_START_TRICKLE = 2;
   private static final long SENDS_KEPT = 30 * SECOND;
 
@@ -116,10 +202,14 @@
   private final Map<String, TokenBucket> quotaTokens = new HashMap<>();
   private final Map<Long, Upstream> upstreams = new LinkedHashMap<>();
   private final Map<String, PendingRequest> open = new LinkedHashMap<>();
+
   /** Requests without an attempt out, the most valuable first, then the oldest. */
-  private final TreeSet<PendingRequest> held = new TreeSet<>(Comparator
-      .<PendingRequest>comparingDouble(r -> -value(r)).thenComparingLong(r -> r.arrived)
-      .thenComparing(r -> r.request.id()));
+  private final TreeSet<PendingRequest> held =
+      new TreeSet<>(
+          Comparator.<PendingRequest>comparingDouble(r -> -value(r))
+              .thenComparingLong(r -> r.arrived)
+              .thenComparing(r -> r.request.id()));
+
   private final Map<String, Window> windows = new LinkedHashMap<>(64, 0.75f, true);
   private final Window fleet;
   private final Window within;
@@ -140,8 +230,10 @@
   private long sweepAt = Long.MAX_VALUE;
   private long sweptAt;
   private boolean panic;
+
   /** When the line first refused since its mean was healthy; 0 while it is. */
   private long refusedSince;
+
   private int refusedInRow;
   private int askFailures;
   private long askAt = Long.MAX_VALUE;
@@ -153,7 +245,9 @@
     this.settings = settings;
     random = new SplittableRandom(seed);
     settings.classes().forEach(c -> classes.put(c.name(), c));
-    settings.tenants().forEach(t -> quotas.put(t.name(), t.quotaPerSecond() / settings.groupSize()));
+    settings
+        .tenants()
+        .forEach(t -> quotas.put(t.name(), t.quotaPerSecond() / settings.groupSize()));
     shortestAim = settings.classes().stream().mapToLong(RequestClass::aimNanos).min().getAsLong();
     long longest = settings.classes().stream().mapToLong(RequestClass::aimNanos).max().getAsLong();
     window = Math.max(SECOND, (long) (WINDOW_AIMS * longest));
@@ -172,12 +266,15 @@
     } else if (event instanceof Outcome e) {
       onOutcome(e);
     } else if (event instanceof TimerFired && now >= sweepAt - MS) {
-      // A balancer's timers may be coarser than the clock; one fired a little early must not end the sweeps.
+      // A balancer's timers may be coarser than the clock; one fired a little early must not end
+      // the sweeps.
       sweepAt = Long.MAX_VALUE;
       onSweep();
     } else if (event instanceof ListNews e) {
       onList(e);
-    } else if (event instanceof ClientGone e && open.containsKey(e.id()) && !open.get(e.id()).ended) {
+    } else if (event instanceof ClientGone e
+        && open.containsKey(e.id())
+        && !open.get(e.id()).ended) {
       release(open.get(e.id()));
     } else if (event instanceof AnswerStarted e && open.get(e.id()) != null) {
       open.get(e.id()).streaming = true;
@@ -197,10 +294,12 @@
     sweepBy(Math.max(now + MS, Math.min(end, now + Math.max(SWEEP, shortestAim / SWEEPS_PER_AIM))));
   }
 
-  // ---- Admission: the straight line ---------------------------------------------------------------------
+  // ---- Admission: the straight line
+  // ---------------------------------------------------------------------
 
   /** The published line: from maxRate at or below minValue down to minRate at or above maxValue. */
-  static double allowedRate(double mean, double minValue, double maxValue, double maxRate, double minRate) {
+  static double allowedRate(
+      double mean, double minValue, double maxValue, double maxRate, double minRate) {
     double part = Math.min(1, Math.max(0, (mean - minValue) / (maxValue - minValue)));
     return maxRate + part * (minRate - maxRate);
   }
@@ -214,21 +313,33 @@
     }
     boolean excess = overQuota(request.tenant());
     String endpoint = request.className() + ' ' + request.tenant() + (excess ? " over" : "");
-    PendingRequest r = new PendingRequest(request, type, now, excess, excess ? over : within,
-        windowOf(endpoint), windowOf(endpoint + ' ' + request.key()), load(request.workHintNanos()));
+    PendingRequest r =
+        new PendingRequest(
+            request,
+            type,
+            now,
+            excess,
+            excess ? over : within,
+            windowOf(endpoint),
+            windowOf(endpoint + ' ' + request.key()),
+            load(request.workHintNanos()));
     if (open.size() >= settings.limits().maxOpen() || !admit(r)) {
       out.accept(new Refuse(request.id(), retryAfter()));
       return;
     }
     open.put(request.id(), r);
-    // No more saved than a window earns: a fixed number at hundreds of balancers would be the overload.
+    // No more saved than a window earns: a fixed number at hundreds of balancers would be the
+    // overload.
     double saved = Math.max(1, RETRY_SHARE * fleet.total(now, Metric.OFFERED));
     retryTokens = Math.min(saved, retryTokens + RETRY_SHARE);
     hedgeTokens = Math.min(HEDGE_MOST, hedgeTokens + HEDGE_SHARE);
     advance(r);
   }
 
-  /** This balancer's part of a tenant's quota is a bucket of a second; what finds it empty is excess. */
+  /**
+   * This balancer's part of a tenant's quota is a bucket of a second; what finds it empty is
+   * excess.
+   */
   private boolean overQuota(String tenant) {
     double rate = tenant == null ? 0 : quotas.getOrDefault(tenant, 0.0);
     if (rate == 0) {
@@ -240,11 +351,15 @@
     return over;
   }
 
-  /** Guards the memory where most keys are new: a window that has forgotten all it counted is dropped. */
+  /**
+   * Guards the memory where most keys are new: a window that has forgotten all it counted is
+   * dropped.
+   */
   private Window windowOf(String name) {
     Window w = windows.computeIfAbsent(name, k -> new Window(window, now));
     Iterator<Window> idlest = windows.values().iterator();
-    for (Window idle = idlest.next(); idle != w && (idle.empty(now) || windows.size() > MAX_KEYS);
+    for (Window idle = idlest.next();
+        idle != w && (idle.empty(now) || windows.size() > MAX_KEYS);
         idle = idlest.next()) {
       idlest.remove();
     }
@@ -255,27 +370,42 @@
     return windows.size();
   }
 
-  /** Refuses at the allowed rate. A fleet-wide overload is nobody's key: the worse of the key's and all means
-   * counts. Work over a quota is worth less, so its line falls sooner: a tenant throttles itself first. */
+  /**
+   * Refuses at the allowed rate. A fleet-wide overload is nobody's key: the worse of the key's and
+   * all means counts. Work over a quota is worth less, so its line falls sooner: a tenant throttles
+   * itself first.
+   */
   private boolean admit(PendingRequest r) {
     count(r, Metric.OFFERED, 1);
-    Window own = r.key.total(now, Metric.SAMPLES) >= ENOUGH ? r.key
-        : !sparse() || r.endpoint.total(now, Metric.SAMPLES) >= ENOUGH ? r.endpoint : r.share;
+    Window own =
+        r.key.total(now, Metric.SAMPLES) >= ENOUGH
+            ? r.key
+            : !sparse() || r.endpoint.total(now, Metric.SAMPLES) >= ENOUGH ? r.endpoint : r.share;
     double mean = Math.max(own.mean(now, ENOUGH), fleet.mean(now, ENOUGH));
     double maxRate = own.reach(now, Metric.OFFERED, ENOUGH) * HEADROOM;
     double early = r.excess ? EXCESS_EARLY + (1 - EXCESS_EARLY) * settings.overShareWorth() : 1;
-    double allowed = allowedRate(mean, MIN_VALUE * early, MAX_VALUE * early, maxRate, maxRate * MIN_PART);
-    // Guards work inside a quota from what this balancer did not cause: no more is out than while healthy.
+    double allowed =
+        allowedRate(mean, MIN_VALUE * early, MAX_VALUE * early, maxRate, maxRate * MIN_PART);
+    // Guards work inside a quota from what this balancer did not cause: no more is out than while
+    // healthy.
     boolean idle = quotaTokens.containsKey(r.request.tenant()) && readyLoad < usualInFlight * ready;
     double admitted = own.reach(now, Metric.ADMITTED, ENOUGH);
-    // What it admits is all that the line learns from: it is never shut for longer than a mean takes.
+    // What it admits is all that the line learns from: it is never shut for longer than a mean
+    // takes.
     boolean refused = admitted >= allowed && (r.excess || !idle) && refusedInRow < ENOUGH;
     refusedInRow = refused ? refusedInRow + 1 : 0;
     if (refused && refusedSince == 0) {
-      out.accept(new Log(String.format(Locale.ROOT,
-          "the line refuses: mean %.2f aims, own of %.0f samples; %.0f admitted, %.1f allowed, %.0f offered",
-          mean, own.reach(now, Metric.SAMPLES, ENOUGH), admitted, allowed,
-          own.reach(now, Metric.OFFERED, ENOUGH))));
+      out.accept(
+          new Log(
+              String.format(
+                  Locale.ROOT,
+                  "the line refuses: mean %.2f aims, own of %.0f samples; %.0f admitted, %.1f"
+                      + " allowed, %.0f offered",
+                  mean,
+                  own.reach(now, Metric.SAMPLES, ENOUGH),
+                  admitted,
+                  allowed,
+                  own.reach(now, Metric.OFFERED, ENOUGH))));
       refusedSince = now;
     } else if (!refused && refusedSince != 0 && mean <= MIN_VALUE * early) {
       out.accept(new Log("the line admits all again after " + (now - refusedSince) / MS + " ms"));
@@ -296,45 +426,70 @@
     return r.type.worth() * (r.excess ? settings.overShareWorth() : 1);
   }
 
-  /** Load in mean requests by the hint: a few heavy ones fill an upstream that a count calls half empty. */
+  /**
+   * Load in mean requests by the hint: a few heavy ones fill an upstream that a count calls half
+   * empty.
+   */
   private double load(long hint) {
     usualHint += hint <= 0 ? 0 : (hint - usualHint) * (usualHint == 0 ? 1 : USUAL_STEP);
     return hint <= 0 ? 1 : Math.min(HINT_MOST, Math.max(1 / HINT_MOST, hint / usualHint));
   }
 
   private long retryAfter() {
-    return settings.limits().retryAfter() ? random.nextLong(settings.limits().maxRetryAfterNanos() + 1) : 0;
+    return settings.limits().retryAfter()
+        ? random.nextLong(settings.limits().maxRetryAfterNanos() + 1)
+        : 0;
   }
 
-  // ---- Placement: bounded-load hashing on a ring of ready upstreams -------------------------------------
+  // ---- Placement: bounded-load hashing on a ring of ready upstreams
+  // -------------------------------------
 
   private void rebuildRing() {
-    List<Upstream> members = upstreams.values().stream().filter(u -> u.listed.state() == State.READY)
-        .sorted(Comparator.comparingLong(u -> u.id)).toList();
+    List<Upstream> members =
+        upstreams.values().stream()
+            .filter(u -> u.listed.state() == State.READY)
+            .sorted(Comparator.comparingLong(u -> u.id))
+            .toList();
     ready = members.size();
     readyLoad = members.stream().mapToDouble(u -> u.load).sum();
-    // Guards a zone left with few upstreams: near ones get no more traffic than the zone is of the fleet.
+    // Guards a zone left with few upstreams: near ones get no more traffic than the zone is of the
+    // fleet.
     long near = members.stream().filter(this::near).count();
     long zones = members.stream().map(u -> u.listed.zone()).distinct().count();
     nearPart = Math.min(1.0 / Math.max(1, near), (double) zones / Math.max(1, ready));
     if (weightUnit == 0 && ready > 0) {
       // Kept for life, so that a change of the list moves the changed upstream's keys only.
-      weightUnit = members.stream().mapToDouble(u -> u.listed.weight()).sorted().toArray()[ready / 2];
+      weightUnit =
+          members.stream().mapToDouble(u -> u.listed.weight()).sorted().toArray()[ready / 2];
     }
-    boolean sized = settings.weightKind() == WeightKind.NOMINAL || settings.weightKind() == WeightKind.ROUGH;
-    ring = new Ring(members, u -> Math.round(POINTS * (!sized || weightUnit <= 0 ? 1
-        : Math.min(WEIGHT_MOST, Math.max(1 / WEIGHT_MOST, u.listed.weight() / weightUnit)))));
-  }
-
-  /** The first upstream from the key's place on the ring that may take it, own zone first; or null. */
+    boolean sized =
+        settings.weightKind() == WeightKind.NOMINAL || settings.weightKind() == WeightKind.ROUGH;
+    ring =
+        new Ring(
+            members,
+            u ->
+                Math.round(
+                    POINTS
+                        * (!sized || weightUnit <= 0
+                            ? 1
+                            : Math.min(
+                                WEIGHT_MOST,
+                                Math.max(1 / WEIGHT_MOST, u.listed.weight() / weightUnit)))));
+  }
+
+  /**
+   * The first upstream from the key's place on the ring that may take it, own zone first; or null.
+   */
   private Upstream place(PendingRequest r) {
     int start = ring.placeOf(r.request.key() == null ? "" + random.nextLong() : r.request.key());
     double all = busy.total(now, Metric.SUM) / usualLatency + 1;
     double nearMost = Math.ceil((1 + HISTORY_SLACK) * all * nearPart);
     double awayMost = Math.ceil((1 + HISTORY_SLACK) * all / Math.max(1, ready));
-    // Guards against keys that leave their warm upstreams in a crowd: each move is work, and so more crowd.
+    // Guards against keys that leave their warm upstreams in a crowd: each move is work, and so
+    // more crowd.
     double part = r.key.total(now, Metric.OFFERED) / Math.max(1, fleet.total(now, Metric.OFFERED));
-    double most = sparse() || !settings.warmKeys() ? ready : KEY_SPREAD + Math.ceil(KEY_PARTS * ready * part);
+    double most =
+        sparse() || !settings.warmKeys() ? ready : KEY_SPREAD + Math.ceil(KEY_PARTS * ready * part);
     Upstream startingAway = null;
     Upstream away = null;
     Upstream crowded = null;
@@ -348,19 +503,25 @@
         boolean hasRoom = u.load < bound(u);
         double taken = u.busy.total(now, Metric.SUM) / usualLatency + 0.5;
         boolean inSlowStart = warmth(u) < 1;
-        boolean fits = hasRoom && (inSlowStart || !sparse() || taken < (near(u) ? nearMost : awayMost));
+        boolean fits =
+            hasRoom && (inSlowStart || !sparse() || taken < (near(u) ? nearMost : awayMost));
         if (near(u) && fits && (!inSlowStart || mayTake(u))) {
           return u;
         }
         tried += near(u) ? 1 : 0;
-        // Asked last: one that earned a send and then was not needed would have saved it for a burst.
-        startingAway = inSlowStart && fits && !near(u) && startingAway == null && away == null ? u
-            : startingAway;
+        // Asked last: one that earned a send and then was not needed would have saved it for a
+        // burst.
+        startingAway =
+            inSlowStart && fits && !near(u) && startingAway == null && away == null
+                ? u
+                : startingAway;
         away = away == null && fits && !inSlowStart ? u : away;
         crowded = crowded == null && hasRoom && !inSlowStart ? u : crowded;
       }
     }
-    return startingAway != null && mayTake(startingAway) ? startingAway : away == null ? crowded : away;
+    return startingAway != null && mayTake(startingAway)
+        ? startingAway
+        : away == null ? crowded : away;
   }
 
   private boolean sparse() {
@@ -379,30 +540,42 @@
     return Math.min(Math.max(1, Math.ceil((1 + SLACK) * (readyLoad + 1) / ready)), room(u));
   }
 
-  /** Little's law: answers a second times the latency wanted and the time that they spend in this balancer.
-   * Guards against bursts that wait in a queue past their aim; no bound before enough answers, or a restarted
-   * balancer would starve itself; nor without its own time, or a slow balancer would. */
+  /**
+   * Little's law: answers a second times the latency wanted and the time that they spend in this
+   * balancer. Guards against bursts that wait in a queue past their aim; no bound before enough
+   * answers, or a restarted balancer would starve itself; nor without its own time, or a slow
+   * balancer would.
+   */
   private double room(Upstream u) {
     if (u.firstServed == 0
         || now - u.firstServed < window / 4 && u.window.total(now, Metric.SAMPLES) < ENOUGH) {
       return Double.MAX_VALUE;
     }
     long served = Math.min(window / 2, Math.max(SWEEP, now - u.firstServed));
-    return Math.max(ROOM_LEAST,
-        (ROOM_PART * u.window.total(now, Metric.AIMS) * SECOND + u.window.total(now, Metric.OURS)) / served);
+    return Math.max(
+        ROOM_LEAST,
+        (ROOM_PART * u.window.total(now, Metric.AIMS) * SECOND + u.window.total(now, Metric.OURS))
+            / served);
   }
 
-  /** Nothing heard for far longer than its answers usually lie apart: frozen or dead, before a time-out. What
-   * attempts spend in this balancer is its own silence: a slow one would copy and shut out what is well, and
-   * be slower still. Hurts where it is slow and an upstream dies at once: seen so much later. */
+  /**
+   * Nothing heard for far longer than its answers usually lie apart: frozen or dead, before a
+   * time-out. What attempts spend in this balancer is its own silence: a slow one would copy and
+   * shut out what is well, and be slower still. Hurts where it is slow and an upstream dies at
+   * once: seen so much later.
+   */
   private boolean silent(Upstream u) {
     double gap = u.window.mean(now, 1) / Math.max(1, u.inFlight);
-    double own = u.window.total(now, Metric.OURS) / Math.max(1, u.window.total(now, Metric.SAMPLES));
-    return u.inFlight > 0 && gap > 0
-        && now - u.heardAt > Math.max(SILENT_GAPS * gap, SILENT_PART * shortestAim) + SILENT_OWN * own;
+    double own =
+        u.window.total(now, Metric.OURS) / Math.max(1, u.window.total(now, Metric.SAMPLES));
+    return u.inFlight > 0
+        && gap > 0
+        && now - u.heardAt
+            > Math.max(SILENT_GAPS * gap, SILENT_PART * shortestAim) + SILENT_OWN * own;
   }
 
-  // ---- Rule 2: where a request may still go -------------------------------------------------------------
+  // ---- Rule 2: where a request may still go
+  // -------------------------------------------------------------
 
   private boolean mayGoTo(PendingRequest r, Upstream u) {
     for (Attempt a : r.attempts) {
@@ -410,8 +583,10 @@
         return false;
       }
       if (a.mayHaveRun && r.type.effect() != Effect.SAFE) {
-        // The window is cut by a tick, against a balancer that carries the sending out a moment later.
-        if (r.type.effect() == Effect.UNSAFE || !r.type.dedupScope().covers(a.upstream.listed, u.listed)
+        // The window is cut by a tick, against a balancer that carries the sending out a moment
+        // later.
+        if (r.type.effect() == Effect.UNSAFE
+            || !r.type.dedupScope().covers(a.upstream.listed, u.listed)
             || now - a.sentAt >= r.type.dedupWindowNanos() - settings.tickNanos()) {
           return false;
         }
@@ -421,21 +596,27 @@
   }
 
   private boolean mayRefuse(PendingRequest r) {
-    return r.type.effect() == Effect.SAFE || !r.mayHaveRun()
+    return r.type.effect() == Effect.SAFE
+        || !r.mayHaveRun()
         || r.type.effect() == Effect.KEYED && r.type.dedupScope() == DedupScope.ALL;
   }
 
-  // ---- Rule 4: slow start --------------------------------------------------------------------------------
+  // ---- Rule 4: slow start
+  // --------------------------------------------------------------------------------
 
   /** The part of its capacity that an upstream surely has: from cold-from, evenly, to the whole. */
   private double warmth(Upstream u) {
-    double part = Math.max(0, now - u.started) / (double) Math.max(1, settings.contract().warmWithinNanos());
+    double part =
+        Math.max(0, now - u.started) / (double) Math.max(1, settings.contract().warmWithinNanos());
     return u.started <= 0 || part >= 1 ? 1 : settings.contract().coldFrom() * (1 - part) + part;
   }
 
-  /** Whether a cold upstream takes a request that would be sent to it. Each such request earns its warmth's
-   * part of a send while the budget lasts, and a whole one sends. Guards against what all balancers save
-   * in a lull: a whole token at each of a hundred is a hundred requests at once, and more than it stands. */
+  /**
+   * Whether a cold upstream takes a request that would be sent to it. Each such request earns its
+   * warmth's part of a send while the budget lasts, and a whole one sends. Guards against what all
+   * balancers save in a lull: a whole token at each of a hundred is a hundred requests at once, and
+   * more than it stands.
+   */
   private boolean mayTake(Upstream u) {
     double part = Math.min(slowStartPart(u), slowStartTokens(u));
     u.slowStart.tokens -= part;
@@ -443,14 +624,19 @@
     return u.slowStartEarned >= 1;
   }
 
-  /** What a request earns at most, and what is saved for it: few balancers may save more each than many. */
+  /**
+   * What a request earns at most, and what is saved for it: few balancers may save more each than
+   * many.
+   */
   private double slowStartPart(Upstream u) {
     return Math.min(1, Math.max(warmth(u), SLOW_START_TRICKLE / settings.groupSize()));
   }
 
-  /** Sends that a cold upstream may still earn: its warmth's part of what a warm one usually gets, most of it
-   * from its zone. The trickle guards against a fleet that is cold all at once and would wait
-   * for traffic to be allowed any. */
+  /**
+   * Sends that a cold upstream may still earn: its warmth's part of what a warm one usually gets,
+   * most of it from its zone. The trickle guards against a fleet that is cold all at once and would
+   * wait for traffic to be allowed any.
+   */
   private double slowStartTokens(Upstream u) {
     double usual = usualSends * (near(u) ? nearPart : 1.0 / Math.max(1, ready));
     double rate = Math.max(SLOW_START_TRICKLE / settings.groupSize(), warmth(u) * usual);
@@ -458,19 +644,27 @@
     return u.slowStart.fill(now, rate, Math.max(slowStartPart(u), rate * seconds));
   }
 
-  // ---- Life of a request --------------------------------------------------------------------------------
+  // ---- Life of a request
+  // --------------------------------------------------------------------------------
 
-  /** Sends a request that has no attempt out, or ends it, or holds it; true if it was sent or ended. */
+  /**
+   * Sends a request that has no attempt out, or ends it, or holds it; true if it was sent or ended.
+   */
   private boolean advance(PendingRequest r) {
     boolean first = r.attempts.isEmpty();
-    boolean over = r.attempts.size() >= settings.limits().maxAttempts() || !first && retryTokens < 1
-        || r.type.effect() == Effect.UNSAFE && r.mayHaveRun() || now >= r.request.deadlineNanos() - 2 * SWEEP;
+    boolean over =
+        r.attempts.size() >= settings.limits().maxAttempts()
+            || !first && retryTokens < 1
+            || r.type.effect() == Effect.UNSAFE && r.mayHaveRun()
+            || now >= r.request.deadlineNanos() - 2 * SWEEP;
     Upstream u = over ? null : place(r);
     if (u != null) {
       retryTokens -= first ? 0 : 1;
       held.remove(r);
       send(r, u);
-    } else if (over || first && now >= r.arrived + HOLD_PART * r.type.aimNanos() || !first && ready == 0) {
+    } else if (over
+        || first && now >= r.arrived + HOLD_PART * r.type.aimNanos()
+        || !first && ready == 0) {
       finish(r);
     } else {
       held.add(r);
@@ -495,13 +689,20 @@
     watch(r);
   }
 
-  /** A second copy past a silent upstream; none with the fleet above minValue: they would be its overload. */
+  /**
+   * A second copy past a silent upstream; none with the fleet above minValue: they would be its
+   * overload.
+   */
   private void hedge(PendingRequest r) {
-    boolean mayCopy = r.out == 1 && settings.limits().secondCopies() && settings.limits().cancel()
-        && r.attempts.size() < settings.limits().maxAttempts() && hedgeTokens >= 1
-        && silent(r.attempts.get(r.attempts.size() - 1).upstream)
-        && now < Math.min(r.request.deadlineNanos(), r.arrived + r.type.aimNanos())
-        && fleet.mean(now, ENOUGH) <= MIN_VALUE;
+    boolean mayCopy =
+        r.out == 1
+            && settings.limits().secondCopies()
+            && settings.limits().cancel()
+            && r.attempts.size() < settings.limits().maxAttempts()
+            && hedgeTokens >= 1
+            && silent(r.attempts.get(r.attempts.size() - 1).upstream)
+            && now < Math.min(r.request.deadlineNanos(), r.arrived + r.type.aimNanos())
+            && fleet.mean(now, ENOUGH) <= MIN_VALUE;
     Upstream u = mayCopy ? place(r) : null;
     if (u != null) {
       hedgeTokens--;
@@ -548,7 +749,8 @@
     if (r.ended && r.out == 0) {
       open.remove(o.id());
     } else if (!r.ended && o.finished()) {
-      hedgeTokens = Math.min(HEDGE_MOST, hedgeTokens + (r.out > 0 && o.attempt() > 0 ? HEDGE_WIN : 0));
+      hedgeTokens =
+          Math.min(HEDGE_MOST, hedgeTokens + (r.out > 0 && o.attempt() > 0 ? HEDGE_WIN : 0));
       release(r);
     } else if (!r.ended && r.out == 0) {
       advance(r);
@@ -574,19 +776,23 @@
       sample(r, (double) (now - r.arrived - ours) / r.type.aimNanos());
       usualLatency += (o.latencyNanos() - usualLatency) * USUAL_STEP;
     } else if (o.stale()) {
-      // No sign of the upstream: kept connections break in a row, and three would eject one that is well.
+      // No sign of the upstream: kept connections break in a row, and three would eject one that is
+      // well.
       // A crash breaks them too, but then the next connects are refused, which counts.
       sample(r, (double) (now - r.arrived - ours) / r.type.aimNanos());
     } else if (o.status() != Status.CANCELLED && o.status() != Status.NOT_SENT) {
-      // One that turns all away holds nothing, so bounded load would send it more than any other: it is
+      // One that turns all away holds nothing, so bounded load would send it more than any other:
+      // it is
       // ejected as one that fails, though its refusals tell the line nothing.
       if (o.status() == Status.RESET || o.status() == Status.ERROR) {
-        // Its latency, but no less than the aim that it missed, and for an error than what is critical. More
+        // Its latency, but no less than the aim that it missed, and for an error than what is
+        // critical. More
         // would take connections that break, spoilt answers, or one upstream's errors for load.
         double least = o.status() == Status.RESET ? 1 : MAX_VALUE;
         sample(r, Math.max(least, (double) (now - r.arrived) / r.type.aimNanos()));
       } else if (o.status() == Status.TIMEOUT) {
-        // A time-out adds its limit, the one that the client set: its class's is twice as long, and a tenth
+        // A time-out adds its limit, the one that the client set: its class's is twice as long, and
+        // a tenth
         // of the attempts lost to what no refusal can mend would be taken for an overload of all.
         sample(r, (double) (now - r.arrived) / r.type.aimNanos());
       }
@@ -597,8 +803,10 @@
     }
   }
 
-  /** What an attempt spent in this balancer, beside its latency: no upstream's work, so neither the line nor
-   * the room may take it for that. A few ticks are the clock's own rounding. */
+  /**
+   * What an attempt spent in this balancer, beside its latency: no upstream's work, so neither the
+   * line nor the room may take it for that. A few ticks are the clock's own rounding.
+   */
   private long ours(Attempt a, Outcome o) {
     long rest = now - a.sentAt - o.latencyNanos();
     return rest <= OURS_TICKS * settings.tickNanos() ? 0 : rest;
@@ -613,12 +821,17 @@
     double past = Math.min(SECOND, now - sweptAt);
     sweptAt = now;
     if (fleet.mean(now, ENOUGH) <= MIN_VALUE) {
-      usualInFlight += (readyLoad / Math.max(1, ready) - usualInFlight) * past / (USUAL_WINDOWS * window);
+      usualInFlight +=
+          (readyLoad / Math.max(1, ready) - usualInFlight) * past / (USUAL_WINDOWS * window);
     }
-    usualSends = Math.max(usualSends * (1 - past / SENDS_KEPT),
-        fleet.total(now, Metric.ADMITTED) * SECOND / window);
-    long bad = upstreams.values().stream()
-        .filter(u -> u.listed.state() == State.READY && (u.ejectedUntil > now || silent(u))).count();
+    usualSends =
+        Math.max(
+            usualSends * (1 - past / SENDS_KEPT),
+            fleet.total(now, Metric.ADMITTED) * SECOND / window);
+    long bad =
+        upstreams.values().stream()
+            .filter(u -> u.listed.state() == State.READY && (u.ejectedUntil > now || silent(u)))
+            .count();
     panic = bad > PANIC_SHARE * ready;
     for (PendingRequest r : List.copyOf(open.values())) {
       if (r.out > 0 && !r.ended && !r.streaming) {
@@ -638,13 +851,16 @@
     sweepBy(askAt);
   }
 
-  // ---- Following the list -------------------------------------------------------------------------------
+  // ---- Following the list
+  // -------------------------------------------------------------------------------
 
   private void onList(ListNews news) {
     if (news.kind() == ListKind.FAILED) {
       // Full jitter, or all balancers would come back to the list service at once.
-      long backoff = settings.listOnRequest() ? Math.min(ASK_MOST, ASK_FIRST << Math.min(askFailures++, 10))
-          : Math.max(SWEEP, (long) (ASK_PUSHED * settings.contract().drainGraceNanos()));
+      long backoff =
+          settings.listOnRequest()
+              ? Math.min(ASK_MOST, ASK_FIRST << Math.min(askFailures++, 10))
+              : Math.max(SWEEP, (long) (ASK_PUSHED * settings.contract().drainGraceNanos()));
       askAt = now + (long) (backoff * random.nextDouble());
       sweepBy(askAt);
       return;
@@ -658,12 +874,23 @@
     news.entries().forEach(e -> entries.put(e.upstream(), e));
     if (news.kind() != ListKind.DELTA) {
       // One that is absent from a full list is gone.
-      upstreams.forEach((id, u) -> entries.putIfAbsent(id, new Listed(id, u.listed.zone(), u.listed.cell(),
-          State.GONE, u.started, u.listed.weight())));
+      upstreams.forEach(
+          (id, u) ->
+              entries.putIfAbsent(
+                  id,
+                  new Listed(
+                      id,
+                      u.listed.zone(),
+                      u.listed.cell(),
+                      State.GONE,
+                      u.started,
+                      u.listed.weight())));
     }
     for (Listed e : entries.values()) {
-      Upstream u = upstreams.computeIfAbsent(e.upstream(),
-          id -> new Upstream(id, new Window(window / 2, now), new Window(HISTORY, now)));
+      Upstream u =
+          upstreams.computeIfAbsent(
+              e.upstream(),
+              id -> new Upstream(id, new Window(window / 2, now), new Window(HISTORY, now)));
       if (e.startedNanos() > u.started) {
         u.started = e.startedNanos();
         u.failures = 0;
--- a/src/main/java/pumicekeel/Attempt.java
+++ b/src/main/java/pumicekeel/Attempt.java
@@ -4,8 +4,10 @@
 final class Attempt {
   final Upstream upstream;
   final long sentAt;
+
   /** In-flight time charged in advance. */
   final double charged;
+
   boolean out = true;
   boolean mayHaveRun = true;
 
--- a/src/main/java/pumicekeel/PendingRequest.java
+++ b/src/main/java/pumicekeel/PendingRequest.java
@@ -9,8 +9,10 @@
   final Balancer.RequestClass type;
   final long arrived;
   final boolean excess;
+
   /** All work inside quotas, or all over them. */
   final Window share;
+
   final Window endpoint;
   final Window key;
   final double load;
@@ -19,8 +21,15 @@
   boolean ended;
   boolean streaming;
 
-  PendingRequest(Balancer.Request request, Balancer.RequestClass type, long arrived, boolean excess, Window share,
-      Window endpoint, Window key, double load) {
+  PendingRequest(
+      Balancer.Request request,
+      Balancer.RequestClass type,
+      long arrived,
+      boolean excess,
+      Window share,
+      Window endpoint,
+      Window key,
+      double load) {
     this.request = request;
     this.type = type;
     this.arrived = arrived;
--- a/src/main/java/pumicekeel/Ring.java
+++ b/src/main/java/pumicekeel/Ring.java
@@ -4,7 +4,9 @@
 import java.util.List;
 import java.util.function.ToLongFunction;
 
-/** A hash ring: each member owns as many points as it was given; a walk goes on from a key's place. */
+/**
+ * A hash ring: each member owns as many points as it was given; a walk goes on from a key's place.
+ */
 final class Ring {
   /** A point's low bits name its owner; more members than a list can hold. */
   private static final long OWNERS = 1 << 20;
@@ -24,7 +26,10 @@
     }
     Arrays.sort(unsorted);
     points = unsorted;
-    owners = Arrays.stream(points).mapToObj(p -> members.get((int) (p & OWNERS - 1))).toArray(Upstream[]::new);
+    owners =
+        Arrays.stream(points)
+            .mapToObj(p -> members.get((int) (p & OWNERS - 1)))
+            .toArray(Upstream[]::new);
   }
 
   private static long mix(long x) {
--- a/src/main/java/pumicekeel/Upstream.java
+++ b/src/main/java/pumicekeel/Upstream.java
@@ -4,11 +4,15 @@
 final class Upstream {
   final long id;
   final Window window;
+
   /** In-flight time over the long window of bounded load. */
   final Window busy;
+
   final TokenBucket slowStart = new TokenBucket();
+
   /** The part of a send that requests for it have earned while it is cold. */
   double slowStartEarned;
+
   Balancer.Listed listed;
   long started;
   long firstServed;
--- a/src/main/java/pumicekeel/Window.java
+++ b/src/main/java/pumicekeel/Window.java
@@ -5,9 +5,18 @@
 /** Counts and sums over the last window, and further back where it holds too few samples. */
 final class Window {
 
-  /** What a window counts: offers, admissions, samples, the sum of their latencies, the sum of their aims,
-   * the time that they spent in the balancer. */
-  enum Metric { OFFERED, ADMITTED, SAMPLES, SUM, AIMS, OURS }
+  /**
+   * What a window counts: offers, admissions, samples, the sum of their latencies, the sum of their
+   * aims, the time that they spent in the balancer.
+   */
+  enum Metric {
+    OFFERED,
+    ADMITTED,
+    SAMPLES,
+    SUM,
+    AIMS,
+    OURS
+  }
 
   /** A window forgets in steps of a twelfth. */
   private static final int SLOTS = 12;
@@ -44,7 +53,8 @@
   double total(long now, Metric metric) {
     long current = now / slotNanos;
     if (empty(now)) {
-      // Slot by slot, what it counted last would be cleared before it was taken off the totals, and stay in them.
+      // Slot by slot, what it counted last would be cleared before it was taken off the totals, and
+      // stay in them.
       Arrays.fill(totals, 0);
       Arrays.stream(slots).forEach(of -> Arrays.fill(of, 0));
       slot = current;
@@ -59,7 +69,9 @@
     return totals[metric.ordinal()];
   }
 
-  /** The total of the last window, reaching back for so many samples as far as the window remembers. */
+  /**
+   * The total of the last window, reaching back for so many samples as far as the window remembers.
+   */
   double reach(long now, Metric metric, int enough) {
     double sum = total(now, metric);
     double samples = totals[Metric.SAMPLES.ordinal()];
@@ -70,7 +82,10 @@
     return sum;
   }
 
-  /** Mean of the samples, of so many at least where the window remembers them; 0, healthy, where there are none. */
+  /**
+   * Mean of the samples, of so many at least where the window remembers them; 0, healthy, where
+   * there are none.
+   */
   double mean(long now, int enough) {
     double samples = reach(now, Metric.SAMPLES, enough);
     return samples < 0.5 ? 0 : reach(now, Metric.SUM, enough) / samples;
--- a/src/main/java/pumicekeel/adapter/Encoder.java
+++ b/src/main/java/pumicekeel/adapter/Encoder.java
@@ -1,5 +1,8 @@
 package pumicekeel.adapter;
 
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.IOException;
+import java.util.Base64;
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.Cancel;
 import pumicekeel.Balancer.CloseIdle;
@@ -12,9 +15,6 @@
 import pumicekeel.Balancer.SetTimer;
 import pumicekeel.Balancer.TellPeer;
 import pumicekeel.Balancer.Watch;
-import com.fasterxml.jackson.core.JsonGenerator;
-import java.io.IOException;
-import java.util.Base64;
 
 /** Writes the module's actions in the wire's words. */
 final class Encoder {
@@ -70,8 +70,13 @@
   static void writeFault(JsonGenerator out, RuntimeException e) throws IOException {
     open(out, "Fault");
     StackTraceElement[] trace = e.getStackTrace();
-    out.writeStringField("note-text", e.getClass().getName() + ": " + e.getMessage() + " at "
-        + (trace.length == 0 ? "unknown place" : trace[0].toString()));
+    out.writeStringField(
+        "note-text",
+        e.getClass().getName()
+            + ": "
+            + e.getMessage()
+            + " at "
+            + (trace.length == 0 ? "unknown place" : trace[0].toString()));
     out.writeEndObject();
     out.writeEndObject();
   }
--- a/src/main/java/pumicekeel/adapter/Fields.java
+++ b/src/main/java/pumicekeel/adapter/Fields.java
@@ -86,8 +86,15 @@
   }
 
   private static WireException bad(String path, String expected, Object value) {
-    return new WireException("field " + path + ": expected " + expected + ", got "
-        + (value == null ? "nothing" : value instanceof String ? "\"" + value + "\"" : value.toString()));
+    return new WireException(
+        "field "
+            + path
+            + ": expected "
+            + expected
+            + ", got "
+            + (value == null
+                ? "nothing"
+                : value instanceof String ? "\"" + value + "\"" : value.toString()));
   }
 
   private WireException bad(String name, String expected) {
@@ -152,7 +159,9 @@
 
   /** A nested object; an empty one where it is absent. */
   public Fields nested(String name) {
-    return has(name) ? object(path + "." + name, values.get(name)) : new Fields(path + "." + name, Map.of());
+    return has(name)
+        ? object(path + "." + name, values.get(name))
+        : new Fields(path + "." + name, Map.of());
   }
 
   /** An array of objects that has to be there. */
--- a/src/main/java/pumicekeel/adapter/Link.java
+++ b/src/main/java/pumicekeel/adapter/Link.java
@@ -1,7 +1,5 @@
 package pumicekeel.adapter;
 
-import pumicekeel.Balancer;
-import pumicekeel.AdaptiveBalancer;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -14,8 +12,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
+import pumicekeel.AdaptiveBalancer;
+import pumicekeel.Balancer;
 
-/** The conversation: a batch of events a line in, a line of actions out; one module instance for each balancer. */
+/**
+ * The conversation: a batch of events a line in, a line of actions out; one module instance for
+ * each balancer.
+ */
 final class Link {
 
   private final JsonFactory json = new JsonFactory();
@@ -67,17 +70,21 @@
     generator.writeEndObject();
   }
 
-  private void handle(long now, long id, Fields message, JsonGenerator generator) throws IOException {
+  private void handle(long now, long id, Fields message, JsonGenerator generator)
+      throws IOException {
     if (message.values().size() != 1) {
-      throw new WireException("field " + message.path() + ": expected one event, got " + message.values().size());
+      throw new WireException(
+          "field " + message.path() + ": expected one event, got " + message.values().size());
     }
     String name = (String) message.values().keySet().iterator().next();
     Fields f = Fields.object(message.path() + "." + name, message.values().get(name));
     if (name.equals("Provision")) {
       if (!f.has("boot-info")) {
-        throw new WireException("field " + f.path() + ".boot-info: expected an object, got nothing");
+        throw new WireException(
+            "field " + f.path() + ".boot-info: expected an object, got nothing");
       }
-      instances.put(id, new AdaptiveBalancer(Decoder.settings(f.nested("boot-info")), f.integer("seed")));
+      instances.put(
+          id, new AdaptiveBalancer(Decoder.settings(f.nested("boot-info")), f.integer("seed")));
       return;
     }
     Balancer instance = instances.get(id);
--- a/src/main/java/pumicekeel/adapter/Main.java
+++ b/src/main/java/pumicekeel/adapter/Main.java
@@ -11,8 +11,8 @@
   private Main() {}
 
   /**
-   * Runs {@code serve}: a balancer on sockets, until SIGTERM; {@code rehearse}: its start alone; or {@code adapter}: events on standard input, actions
-   * on standard output, until the input ends.
+   * Runs {@code serve}: a balancer on sockets, until SIGTERM; {@code rehearse}: its start alone; or
+   * {@code adapter}: events on standard input, actions on standard output, until the input ends.
    */
   public static void main(String[] args) throws IOException, InterruptedException {
     if (args.length == 1 && args[0].equals("serve")) {
@@ -24,13 +24,21 @@
     System.exit(run(args, System.in, System.out, System.err));
   }
 
-  /** The exit status: 0 at the end of the input, 1 for malformed input, 2 for a wrong command line. */
-  static int run(String[] args, InputStream in, PrintStream out, PrintStream err) throws IOException {
+  /**
+   * The exit status: 0 at the end of the input, 1 for malformed input, 2 for a wrong command line.
+   */
+  static int run(String[] args, InputStream in, PrintStream out, PrintStream err)
+      throws IOException {
     if (args.length != 1 || !args[0].equals("adapter")) {
       err.println("usage: java -jar pumicekeel.jar serve|rehearse|adapter");
-      err.println("  serve     balance on sockets as the PROXY_ variables and their configuration file say");
-      err.println("  rehearse  start like serve and end once ready: for making a class-data archive");
-      err.println("  adapter   read batches of events from standard input, write actions to standard output");
+      err.println(
+          "  serve     balance on sockets as the PROXY_ variables and their configuration file"
+              + " say");
+      err.println(
+          "  rehearse  start like serve and end once ready: for making a class-data archive");
+      err.println(
+          "  adapter   read batches of events from standard input, write actions to standard"
+              + " output");
       return 2;
     }
     try {
--- a/src/main/java/pumicekeel/node/AnswerDecoder.java
+++ b/src/main/java/pumicekeel/node/AnswerDecoder.java
@@ -10,13 +10,18 @@
 import java.util.List;
 
 /**
- * Reads answers as strictly as requests are read, and watches the raw bytes: what comes where no answer is due is never
- * decoded. Guards against what Netty repairs quietly in answers: a line "no colon here" would be a header named "no".
+ * Reads answers as strictly as requests are read, and watches the raw bytes: what comes where no
+ * answer is due is never decoded. Guards against what Netty repairs quietly in answers: a line "no
+ * colon here" would be a header named "no".
  */
 final class AnswerDecoder extends HttpResponseDecoder {
 
   private RawReader reader;
-  /** From an answer's first line to its end; the line itself may end in a blank where it gives no reason. */
+
+  /**
+   * From an answer's first line to its end; the line itself may end in a blank where it gives no
+   * reason.
+   */
   private boolean behindFirstLine;
 
   AnswerDecoder() {
@@ -38,14 +43,18 @@
     return super.createMessage(initialLine);
   }
 
-  /** Decides how strictly headers are read; an answer without a length is no answer here, so its body is no matter. */
+  /**
+   * Decides how strictly headers are read; an answer without a length is no answer here, so its
+   * body is no matter.
+   */
   @Override
   protected boolean isDecodingRequest() {
     return behindFirstLine;
   }
 
   @Override
-  protected void decode(ChannelHandlerContext ctx, ByteBuf buffer, List<Object> out) throws Exception {
+  protected void decode(ChannelHandlerContext ctx, ByteBuf buffer, List<Object> out)
+      throws Exception {
     super.decode(ctx, buffer, out);
     behindFirstLine &= out.isEmpty() || !(out.get(out.size() - 1) instanceof LastHttpContent);
   }
--- a/src/main/java/pumicekeel/node/AnswerHead.java
+++ b/src/main/java/pumicekeel/node/AnswerHead.java
@@ -13,15 +13,18 @@
 /** What the head of an upstream's answer is worth. */
 final class AnswerHead {
 
-  /** Interim answers that are skipped ahead of an answer; more come from an upstream that never answers. */
+  /**
+   * Interim answers that are skipped ahead of an answer; more come from an upstream that never
+   * answers.
+   */
   static final int MOST_INTERIM = 10;
 
   private AnswerHead() {}
 
   /**
-   * Whether the head tells in exactly one way where its body ends, and that within the protocol's limit. The codec
-   * refuses two lengths, and a length beside chunks, in HTTP/1.1 only: there is no other version here. Without either
-   * an answer can't be told from one cut short.
+   * Whether the head tells in exactly one way where its body ends, and that within the protocol's
+   * limit. The codec refuses two lengths, and a length beside chunks, in HTTP/1.1 only: there is no
+   * other version here. Without either an answer can't be told from one cut short.
    */
   static boolean sound(HttpResponse head) {
     if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)
@@ -33,7 +36,8 @@
     }
     List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
     if (!codings.isEmpty()) {
-      return codings.size() == 1 && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))
+      return codings.size() == 1
+          && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))
           && !HttpUtil.isContentLengthSet(head);
     }
     return HttpUtil.isContentLengthSet(head) && HttpUtil.getContentLength(head) <= Answer.MAX_BODY;
--- a/src/main/java/pumicekeel/node/BalancerCore.java
+++ b/src/main/java/pumicekeel/node/BalancerCore.java
@@ -28,15 +28,21 @@
 import pumicekeel.Balancer.TimerFired;
 import pumicekeel.Balancer.Watch;
 
-/** The table of open requests: tells the module what happens on the sockets and carries out what it decides. */
+/**
+ * The table of open requests: tells the module what happens on the sockets and carries out what it
+ * decides.
+ */
 final class BalancerCore {
 
   /**
-   * An answer goes out this long before the client stops waiting, so that a busy core still is in time; but no more
-   * than this part of its wait, or one that waits for less than the margin would never be tried.
+   * An answer goes out this long before the client stops waiting, so that a busy core still is in
+   * time; but no more than this part of its wait, or one that waits for less than the margin would
+   * never be tried.
    */
   private static final long ANSWER_MARGIN_NANOS = 60_000_000L;
+
   private static final double ANSWER_MARGIN_PART = 0.125;
+
   /** The node's own answer where the module gave none in time, after the module's deadline. */
   private static final long GUARD_NANOS = 20_000_000L;
 
@@ -53,12 +59,20 @@
   private final List<OpenRequest> over = new ArrayList<>();
   private Consumer<Boolean> watch = on -> {};
   private boolean handling;
+
   /** The event that is being handled is a request that just came in. */
   private boolean taking;
+
   private long endsAt = Long.MAX_VALUE;
 
-  BalancerCore(Settings settings, Balancer module, Clock clock, EventLoop loop, LoopLag lag,
-      ConnectionPool pool, Consumer<RuntimeException> defect) {
+  BalancerCore(
+      Settings settings,
+      Balancer module,
+      Clock clock,
+      EventLoop loop,
+      LoopLag lag,
+      ConnectionPool pool,
+      Consumer<RuntimeException> defect) {
     this.settings = settings;
     this.module = module;
     this.clock = clock;
@@ -76,38 +90,55 @@
     }
   }
 
-  /** Starts with the list as last held; {@code watch} carries out the module's wish to follow it. */
+  /**
+   * Starts with the list as last held; {@code watch} carries out the module's wish to follow it.
+   */
   void start(HostList known, Consumer<Boolean> watch) {
     this.watch = watch;
     news(ListKind.CACHED, known);
   }
 
-  // ---- Clients ------------------------------------------------------------------------------------------
+  // ---- Clients
+  // ------------------------------------------------------------------------------------------
 
   /** Takes a request; false where its id is open already, which must not replace the first one. */
   boolean take(ClientRequest request, Client client) {
     long now = clock.now();
-    long left = Math.max(0, Math.min(request.leftNanos() - answerMargin(request.leftNanos()), endsAt - now));
+    long left =
+        Math.max(
+            0, Math.min(request.leftNanos() - answerMargin(request.leftNanos()), endsAt - now));
     OpenRequest r = new OpenRequest(request, client, now + left);
     if (table.putIfAbsent(request.id(), r) != null) {
       return false;
     }
     counters.taken();
     r.guard = loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
-    tell(new Request(request.id(), request.type().name(), request.tenant(), request.key(), r.deadline,
-        request.hintNanos(), request.retry()));
+    tell(
+        new Request(
+            request.id(),
+            request.type().name(),
+            request.tenant(),
+            request.key(),
+            r.deadline,
+            request.hintNanos(),
+            request.retry()));
     return true;
   }
 
-  /** How long before its time is up a request that comes with so much time left is to be answered. */
+  /**
+   * How long before its time is up a request that comes with so much time left is to be answered.
+   */
   static long answerMargin(long leftNanos) {
     return Math.min(ANSWER_MARGIN_NANOS, (long) (leftNanos * ANSWER_MARGIN_PART));
   }
 
-  /** The process ends after so long: no request that is open or taken from now on may last longer. */
+  /**
+   * The process ends after so long: no request that is open or taken from now on may last longer.
+   */
   void endBy(long nanos) {
     endsAt = clock.now() + nanos;
-    table.values().stream().filter(r -> !r.ended && r.deadline > endsAt)
+    table.values().stream()
+        .filter(r -> !r.ended && r.deadline > endsAt)
         .forEach(r -> loop.schedule(() -> answerForModule(r), nanos, TimeUnit.NANOSECONDS));
   }
 
@@ -119,7 +150,9 @@
     }
   }
 
-  /** Guards against a module that leaves a request without its answer until the client's time is up. */
+  /**
+   * Guards against a module that leaves a request without its answer until the client's time is up.
+   */
   private void answerForModule(OpenRequest r) {
     if (end(r)) {
       Log.caused("answered for the module: " + r.request.id());
@@ -166,7 +199,8 @@
     return true;
   }
 
-  // ---- The list of upstreams ----------------------------------------------------------------------------
+  // ---- The list of upstreams
+  // ----------------------------------------------------------------------------
 
   void news(HostList list) {
     news(list.whole() ? ListKind.FULL : ListKind.DELTA, list);
@@ -181,7 +215,8 @@
     tell(new ListNews(ListKind.FAILED, List.of()));
   }
 
-  // ---- The module ---------------------------------------------------------------------------------------
+  // ---- The module
+  // ---------------------------------------------------------------------------------------
 
   /** Events wait in line while one is handled: an action may end at once in an event of its own. */
   private void tell(Event event) {
@@ -204,7 +239,10 @@
     }
   }
 
-  /** Exhaustive over the kinds of action; those that this module never emits are an error that names them. */
+  /**
+   * Exhaustive over the kinds of action; those that this module never emits are an error that names
+   * them.
+   */
   private void perform(Action action) {
     if (action instanceof Send a) {
       send(a);
@@ -221,15 +259,18 @@
         fail(r);
       }
     } else if (action instanceof SetTimer a) {
-      loop.schedule(() -> tell(new TimerFired(a.token())), Math.max(0, a.atNanos() - clock.now()),
+      loop.schedule(
+          () -> tell(new TimerFired(a.token())),
+          Math.max(0, a.atNanos() - clock.now()),
           TimeUnit.NANOSECONDS);
     } else if (action instanceof Watch a) {
       watch.accept(a.on());
     } else if (action instanceof Balancer.Log a) {
       Log.caused("module: " + a.text());
     } else {
-      throw new IllegalStateException("the module asked for what this balancer has no use of: "
-          + action.getClass().getSimpleName());
+      throw new IllegalStateException(
+          "the module asked for what this balancer has no use of: "
+              + action.getClass().getSimpleName());
     }
   }
 
@@ -237,23 +278,37 @@
     OpenRequest r = table.get(a.id());
     UpstreamTable.Entry upstream = upstreams.get(a.upstream());
     if (r == null || upstream == null) {
-      throw new IllegalStateException("the module sent an unknown request or to an unknown upstream");
+      throw new IllegalStateException(
+          "the module sent an unknown request or to an unknown upstream");
     }
-    UpstreamAttempt attempt = new UpstreamAttempt(r.attempts.size(), a.upstream(), clock.now(), upstream.pool(),
-        (ended, status, answer) -> {
-          upstreams.ended(upstream);
-          ended(r, upstream, ended, status, answer);
-        });
+    UpstreamAttempt attempt =
+        new UpstreamAttempt(
+            r.attempts.size(),
+            a.upstream(),
+            clock.now(),
+            upstream.pool(),
+            (ended, status, answer) -> {
+              upstreams.ended(upstream);
+              ended(r, upstream, ended, status, answer);
+            });
     upstreams.started(upstream);
-    // Checked where the attempt's first byte goes out, which may be a connect later than the decision.
+    // Checked where the attempt's first byte goes out, which may be a connect later than the
+    // decision.
     boolean counts = r.attempts.size() < settings.limits().maxAttempts();
     r.attempts.add(attempt);
     long left = r.deadline - clock.now();
-    attempt.start(r.request, a.timeoutNanos() == 0 ? left : Math.min(a.timeoutNanos(), left),
-        () -> counts && maySend(r, upstream), clock, loop);
+    attempt.start(
+        r.request,
+        a.timeoutNanos() == 0 ? left : Math.min(a.timeoutNanos(), left),
+        () -> counts && maySend(r, upstream),
+        clock,
+        loop);
   }
 
-  /** Asked of the client's socket, since its end may still be unread: the loop that is behind sees it late. */
+  /**
+   * Asked of the client's socket, since its end may still be unread: the loop that is behind sees
+   * it late.
+   */
   private boolean maySend(OpenRequest r, UpstreamTable.Entry upstream) {
     if (!r.ended && !r.client.here() && end(r)) {
       counters.left();
@@ -268,23 +323,41 @@
     }
   }
 
-  private void ended(OpenRequest r, UpstreamTable.Entry upstream, UpstreamAttempt attempt, Status status,
+  private void ended(
+      OpenRequest r,
+      UpstreamTable.Entry upstream,
+      UpstreamAttempt attempt,
+      Status status,
       Answer answer) {
     if (status == Status.SERVED && end(r)) {
       r.client.served(answer);
     }
     over.add(r);
     long latency = attempt.latencyNanos(clock.now() - lag.waitNanos());
-    counters.ended(attempt.address(), kindOf(upstream.listed()), status, attempt.stale(), attempt.unsentNanos(),
+    counters.ended(
+        attempt.address(),
+        kindOf(upstream.listed()),
+        status,
+        attempt.stale(),
+        attempt.unsentNanos(),
         latency);
     counters.lag(lag.lateNanos());
-    tell(new Outcome(r.request.id(), attempt.number, attempt.upstream, status, latency, r.ended, Map.of(),
-        attempt.stale()));
+    tell(
+        new Outcome(
+            r.request.id(),
+            attempt.number,
+            attempt.upstream,
+            status,
+            latency,
+            r.ended,
+            Map.of(),
+            attempt.stale()));
   }
 
   private Counters.Kind kindOf(Listed upstream) {
     boolean cold = clock.now() - upstream.startedNanos() < settings.contract().warmWithinNanos();
-    return cold ? Counters.Kind.COLD
+    return cold
+        ? Counters.Kind.COLD
         : upstream.zone().equals(settings.zone()) ? Counters.Kind.NEAR : Counters.Kind.AWAY;
   }
 }
--- a/src/main/java/pumicekeel/node/ClientHandler.java
+++ b/src/main/java/pumicekeel/node/ClientHandler.java
@@ -24,27 +24,43 @@
 import java.util.concurrent.TimeUnit;
 
 /** One client connection: reads a request at a time, hands it to the core and writes its answer. */
-final class ClientHandler extends SimpleChannelInboundHandler<HttpObject> implements Client, RawReader {
+final class ClientHandler extends SimpleChannelInboundHandler<HttpObject>
+    implements Client, RawReader {
 
-  /** A client that was told of its mistake is not read for so long: it may well ask the same again at full speed. */
+  /**
+   * A client that was told of its mistake is not read for so long: it may well ask the same again
+   * at full speed.
+   */
   private static final long PENALTY_MILLIS = 500;
-  /** What is dropped behind a request that waits, to see its client leave; with more it is a flood, and is ended. */
+
+  /**
+   * What is dropped behind a request that waits, to see its client leave; with more it is a flood,
+   * and is ended.
+   */
   private static final int MOST_DROPPED = 64 << 10;
 
   private final ClientSide side;
   private ChannelHandlerContext ctx;
   private HttpRequest head;
   private ByteArrayOutputStream body;
+
   /** The id of the request that waits for its answer, or null. */
   private String waiting;
+
   private boolean keepAlive;
   private boolean discarding;
   private boolean paused;
   private long dropped;
   private final long openedAt = System.nanoTime();
-  /** When the last request ended, and when the first byte came of the one that has come in part; 0 for never. */
+
+  /**
+   * When the last request ended, and when the first byte came of the one that has come in part; 0
+   * for never.
+   */
   private long answeredAt;
+
   private long partSince;
+
   /** When the socket took no more of an answer; 0 while it does. */
   private long stuckSince;
 
@@ -77,7 +93,10 @@
     return now - (answeredAt == 0 ? openedAt : answeredAt);
   }
 
-  /** How long a request has been coming in, counted from the connect for the first one; 0 where none is. */
+  /**
+   * How long a request has been coming in, counted from the connect for the first one; 0 where none
+   * is.
+   */
   long comingFor(long now) {
     return !idleOrPart() || partSince == 0 ? 0 : now - (answeredAt == 0 ? openedAt : partSince);
   }
@@ -100,7 +119,10 @@
     ctx.close();
   }
 
-  /** The client's end lies behind whatever else waits unread, which is dropped; more than is dropped is a flood. */
+  /**
+   * The client's end lies behind whatever else waits unread, which is dropped; more than is dropped
+   * is a flood.
+   */
   @Override
   public boolean here() {
     int most = (int) (MOST_DROPPED + 1 - dropped);
@@ -108,7 +130,8 @@
     if (skipped > 0) {
       drop(skipped);
     } else if (skipped < 0) {
-      // Told by this answer, once: another connection may ask under the same id before this one's end is read.
+      // Told by this answer, once: another connection may ask under the same id before this one's
+      // end is read.
       waiting = null;
       abort();
     }
@@ -138,11 +161,13 @@
   }
 
   /**
-   * Reads while there is something to read for. A connection whose request waits is always read, or nothing would tell
-   * that its client has left.
+   * Reads while there is something to read for. A connection whose request waits is always read, or
+   * nothing would tell that its client has left.
    */
   private void readOn() {
-    ctx.channel().config().setAutoRead(waiting != null || !discarding && !paused && ctx.channel().isWritable());
+    ctx.channel()
+        .config()
+        .setAutoRead(waiting != null || !discarding && !paused && ctx.channel().isWritable());
   }
 
   /** Closes once all that was written has gone out: an answer must not be cut short. */
@@ -153,7 +178,8 @@
   }
 
   @Override
-  protected void channelRead0(ChannelHandlerContext context, HttpObject message) throws IOException {
+  protected void channelRead0(ChannelHandlerContext context, HttpObject message)
+      throws IOException {
     if (discarding) {
       return;
     }
@@ -176,7 +202,8 @@
 
   private void begin(HttpRequest next) {
     if (waiting != null) {
-      // Pipelining: the first request still gets its answer, the rest is dropped with the connection.
+      // Pipelining: the first request still gets its answer, the rest is dropped with the
+      // connection.
       keepAlive = false;
       discarding = true;
       return;
@@ -190,7 +217,8 @@
     head = next;
     body = new ByteArrayOutputStream();
     if (HttpUtil.is100ContinueExpected(next)) {
-      ctx.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
+      ctx.writeAndFlush(
+          new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
     }
   }
 
@@ -199,7 +227,8 @@
     head = null;
     keepAlive = HttpUtil.isKeepAlive(request);
     if (request.uri().equals("/up") || side.warmsUpAt(request.uri())) {
-      write(side.ready() || side.warmsUpAt(request.uri()) ? 200 : 503, new byte[0], "text/plain", 0);
+      write(
+          side.ready() || side.warmsUpAt(request.uri()) ? 200 : 503, new byte[0], "text/plain", 0);
       return;
     }
     try {
@@ -218,14 +247,21 @@
     }
   }
 
-  /** Slows a client that breaks the protocol; ending its connection would only bring it back at once. */
+  /**
+   * Slows a client that breaks the protocol; ending its connection would only bring it back at
+   * once.
+   */
   private void pause() {
     paused = true;
     readOn();
-    ctx.executor().schedule(() -> {
-      paused = false;
-      readOn();
-    }, PENALTY_MILLIS, TimeUnit.MILLISECONDS);
+    ctx.executor()
+        .schedule(
+            () -> {
+              paused = false;
+              readOn();
+            },
+            PENALTY_MILLIS,
+            TimeUnit.MILLISECONDS);
   }
 
   /** Reads nothing from a client that does not take its answers. */
@@ -235,11 +271,14 @@
     readOn();
   }
 
-  /** Answers what breaks the protocol; a request that is taken already keeps its own, only answer. */
+  /**
+   * Answers what breaks the protocol; a request that is taken already keeps its own, only answer.
+   */
   private void reject(int status, String why) {
     keepAlive = false;
     head = null;
-    // Read no more, unless to see a waiting one's client leave: what it sends must not fill the memory.
+    // Read no more, unless to see a waiting one's client leave: what it sends must not fill the
+    // memory.
     discarding = true;
     if (waiting == null) {
       write(status, why.getBytes(StandardCharsets.UTF_8), "text/plain", 0);
@@ -265,14 +304,21 @@
     waiting = null;
     partSince = 0;
     answeredAt = System.nanoTime();
-    FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status),
-        Unpooled.wrappedBuffer(content));
+    FullHttpResponse response =
+        new DefaultFullHttpResponse(
+            HttpVersion.HTTP_1_1,
+            HttpResponseStatus.valueOf(status),
+            Unpooled.wrappedBuffer(content));
     response.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.length);
     if (contentType != null) {
       response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
     }
     if (retryAfterNanos > 0) {
-      response.headers().set(HttpHeaderNames.RETRY_AFTER, BigDecimal.valueOf(retryAfterNanos / 1_000_000, 3).toPlainString());
+      response
+          .headers()
+          .set(
+              HttpHeaderNames.RETRY_AFTER,
+              BigDecimal.valueOf(retryAfterNanos / 1_000_000, 3).toPlainString());
     }
     boolean last = !keepAlive || side.closing();
     if (last) {
--- a/src/main/java/pumicekeel/node/ClientRequest.java
+++ b/src/main/java/pumicekeel/node/ClientRequest.java
@@ -10,8 +10,19 @@
 import pumicekeel.Balancer.Settings;
 
 /** A client's request, checked against the protocol and the settings. */
-record ClientRequest(String id, RequestClass type, String tenant, String key, long leftNanos, long hintNanos,
-    boolean retry, HttpMethod method, String uri, String host, String idempotencyKey, String contentType,
+record ClientRequest(
+    String id,
+    RequestClass type,
+    String tenant,
+    String key,
+    long leftNanos,
+    long hintNanos,
+    boolean retry,
+    HttpMethod method,
+    String uri,
+    String host,
+    String idempotencyKey,
+    String contentType,
     byte[] body) {
 
   static final String ID = "X-Correlation-Id";
@@ -30,9 +41,21 @@
     }
   }
 
-  /** The headers that say what a request is: each once, or readers would differ over which one counts. */
-  private static final List<String> ONCE = List.of(ID, "X-Service-Class", "X-Account", "X-Session-Key", TIME_LEFT,
-      IDEMPOTENCY_KEY, "X-Weight-Hint", "X-Repeat", HttpHeaderNames.HOST.toString());
+  /**
+   * The headers that say what a request is: each once, or readers would differ over which one
+   * counts.
+   */
+  private static final List<String> ONCE =
+      List.of(
+          ID,
+          "X-Service-Class",
+          "X-Account",
+          "X-Session-Key",
+          TIME_LEFT,
+          IDEMPOTENCY_KEY,
+          "X-Weight-Hint",
+          "X-Repeat",
+          HttpHeaderNames.HOST.toString());
 
   static ClientRequest of(HttpRequest head, byte[] body, Settings settings) throws Bad {
     HttpHeaders h = head.headers();
@@ -42,14 +65,18 @@
       }
     }
     String name = needed(h, "X-Service-Class");
-    RequestClass type = settings.classes().stream().filter(c -> c.name().equals(name)).findFirst()
-        .orElseThrow(() -> new Bad(400, "unknown class"));
+    RequestClass type =
+        settings.classes().stream()
+            .filter(c -> c.name().equals(name))
+            .findFirst()
+            .orElseThrow(() -> new Bad(400, "unknown class"));
     String path = head.uri().split("\\?", 2)[0];
     if (!path.equals("/" + name) && !path.startsWith("/" + name + "/")) {
       throw new Bad(400, "the path does not begin with the class");
     }
     String tenant = h.get("X-Account");
-    if (!settings.tenants().isEmpty() && settings.tenants().stream().noneMatch(t -> t.name().equals(tenant))) {
+    if (!settings.tenants().isEmpty()
+        && settings.tenants().stream().noneMatch(t -> t.name().equals(tenant))) {
       throw new Bad(400, "unknown tenant");
     }
     if (!head.method().equals(type.effect() == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST)) {
@@ -61,9 +88,20 @@
     }
     long left = number(TIME_LEFT, needed(h, TIME_LEFT)) * 1_000_000L;
     long hint = number("X-Weight-Hint", h.get("X-Weight-Hint", "0")) * 1_000L;
-    return new ClientRequest(needed(h, ID), type, tenant, h.get("X-Session-Key"),
-        Math.min(left, type.deadlineNanos()), hint, "1".equals(h.get("X-Repeat")), head.method(), head.uri(),
-        h.get(HttpHeaderNames.HOST, ""), idempotencyKey, h.get(HttpHeaderNames.CONTENT_TYPE), body);
+    return new ClientRequest(
+        needed(h, ID),
+        type,
+        tenant,
+        h.get("X-Session-Key"),
+        Math.min(left, type.deadlineNanos()),
+        hint,
+        "1".equals(h.get("X-Repeat")),
+        head.method(),
+        head.uri(),
+        h.get(HttpHeaderNames.HOST, ""),
+        idempotencyKey,
+        h.get(HttpHeaderNames.CONTENT_TYPE),
+        body);
   }
 
   private static String needed(HttpHeaders headers, String name) throws Bad {
--- a/src/main/java/pumicekeel/node/ClientSide.java
+++ b/src/main/java/pumicekeel/node/ClientSide.java
@@ -17,25 +17,39 @@
 final class ClientSide {
 
   private static final int BACKLOG = 1024;
-  /** Read a piece at a time and few pieces in a row, or one client that floods would keep all others waiting. */
+
+  /**
+   * Read a piece at a time and few pieces in a row, or one client that floods would keep all others
+   * waiting.
+   */
   private static final int READ_BYTES = 4096;
+
   private static final int READS_IN_A_ROW = 2;
-  /** Accepted at a time: each is counted before the next one, or a crowd would come in far over the limit. */
+
+  /**
+   * Accepted at a time: each is counted before the next one, or a crowd would come in far over the
+   * limit.
+   */
   private static final int ACCEPTS_IN_A_ROW = 1;
 
   private final EventLoop loop;
   private final Settings settings;
   private final BalancerCore core;
   private final int most;
+
   /** The connection that got its last answer longest ago comes first. */
   private final Set<ClientHandler> connections = new LinkedHashSet<>();
+
   private Channel listener;
   private boolean ready;
   private boolean draining;
   private boolean closing;
   private String warmUpPath;
 
-  /** At most so many connections; {@code warmUpPath} is answered as {@code /up} until this side is ready. */
+  /**
+   * At most so many connections; {@code warmUpPath} is answered as {@code /up} until this side is
+   * ready.
+   */
   ClientSide(EventLoop loop, Settings settings, BalancerCore core, int most, String warmUpPath) {
     this.loop = loop;
     this.settings = settings;
@@ -46,21 +60,33 @@
 
   /** Listens; waits for the bind, so it is not to be called on the loop. */
   InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
-    listener = new ServerBootstrap().group(loop, loop).channelFactory(ClientListener::new)
-        .option(ChannelOption.SO_BACKLOG, BACKLOG)
-        .option(ChannelOption.SO_REUSEADDR, true)
-        .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(1).maxMessagesPerRead(ACCEPTS_IN_A_ROW))
-        .childOption(ChannelOption.TCP_NODELAY, true)
-        .childOption(ChannelOption.RECVBUF_ALLOCATOR,
-            new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(READS_IN_A_ROW))
-        .childHandler(new ChannelInitializer<Channel>() {
-          @Override
-          protected void initChannel(Channel channel) {
-            ClientHandler handler = new ClientHandler(ClientSide.this);
-            channel.pipeline().addLast(new RequestDecoder(handler), new HttpResponseEncoder(), handler);
-            opened(handler);
-          }
-        }).bind(address).sync().channel();
+    listener =
+        new ServerBootstrap()
+            .group(loop, loop)
+            .channelFactory(ClientListener::new)
+            .option(ChannelOption.SO_BACKLOG, BACKLOG)
+            .option(ChannelOption.SO_REUSEADDR, true)
+            .option(
+                ChannelOption.RECVBUF_ALLOCATOR,
+                new FixedRecvByteBufAllocator(1).maxMessagesPerRead(ACCEPTS_IN_A_ROW))
+            .childOption(ChannelOption.TCP_NODELAY, true)
+            .childOption(
+                ChannelOption.RECVBUF_ALLOCATOR,
+                new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(READS_IN_A_ROW))
+            .childHandler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(Channel channel) {
+                    ClientHandler handler = new ClientHandler(ClientSide.this);
+                    channel
+                        .pipeline()
+                        .addLast(new RequestDecoder(handler), new HttpResponseEncoder(), handler);
+                    opened(handler);
+                  }
+                })
+            .bind(address)
+            .sync()
+            .channel();
     loop.execute(new ClientLimits(loop, this, most)::start);
     return (InetSocketAddress) listener.localAddress();
   }
@@ -83,7 +109,10 @@
     return settings;
   }
 
-  /** Whether this is where the balancer's own warm-up asks: nobody else knows the path, and it ends with that. */
+  /**
+   * Whether this is where the balancer's own warm-up asks: nobody else knows the path, and it ends
+   * with that.
+   */
   boolean warmsUpAt(String uri) {
     return uri.equals(warmUpPath);
   }
@@ -106,14 +135,16 @@
   }
 
   /**
-   * At the limit the longest idle connection gives way at once, or a crowd of clients, and the front's question
-   * whether this balancer is up, would wait in line; with none nothing is accepted until {@link ClientLimits} has
-   * made room.
+   * At the limit the longest idle connection gives way at once, or a crowd of clients, and the
+   * front's question whether this balancer is up, would wait in line; with none nothing is accepted
+   * until {@link ClientLimits} has made room.
    */
   private void opened(ClientHandler handler) {
     connections.add(handler);
     if (connections.size() >= most) {
-      connections.stream().filter(c -> c != handler && c.idle() && !c.neverAsked()).findFirst()
+      connections.stream()
+          .filter(c -> c != handler && c.idle() && !c.neverAsked())
+          .findFirst()
           .ifPresentOrElse(ClientHandler::close, () -> listener.config().setAutoRead(false));
     }
   }
@@ -131,7 +162,10 @@
     }
   }
 
-  /** Begins a planned stop: the front is told to send no more clients; those that are here are served on. */
+  /**
+   * Begins a planned stop: the front is told to send no more clients; those that are here are
+   * served on.
+   */
   void drain() {
     draining = true;
   }
@@ -142,22 +176,29 @@
   }
 
   /**
-   * Each answer is its connection's last from now on, and those between two requests end now. A request that has come in
-   * part is owed its answer once it is whole; so is the first one of a new connection, which may be on its way.
+   * Each answer is its connection's last from now on, and those between two requests end now. A
+   * request that has come in part is owed its answer once it is whole; so is the first one of a new
+   * connection, which may be on its way.
    */
   void closeIdle() {
     closing = true;
     connections().stream().filter(c -> c.idle() && !c.neverAsked()).forEach(ClientHandler::close);
   }
 
-  /** Waits no longer for what has not come whole: a slow sender must not keep the process from its end. */
+  /**
+   * Waits no longer for what has not come whole: a slow sender must not keep the process from its
+   * end.
+   */
   void endUntaken() {
-    connections().stream().filter(ClientHandler::untaken).forEach(c -> {
-      if (c.idle()) {
-        c.close();
-      } else {
-        c.expire();
-      }
-    });
+    connections().stream()
+        .filter(ClientHandler::untaken)
+        .forEach(
+            c -> {
+              if (c.idle()) {
+                c.close();
+              } else {
+                c.expire();
+              }
+            });
   }
 }
--- a/src/main/java/pumicekeel/node/Clock.java
+++ b/src/main/java/pumicekeel/node/Clock.java
@@ -1,8 +1,8 @@
 package pumicekeel.node;
 
 /**
- * The balancer's clock: Unix time in nanoseconds that never goes back. The list gives start times in Unix time and 0
- * for "long ago", so the module's clock has to have the same origin.
+ * The balancer's clock: Unix time in nanoseconds that never goes back. The list gives start times
+ * in Unix time and 0 for "long ago", so the module's clock has to have the same origin.
  */
 final class Clock {
 
--- a/src/main/java/pumicekeel/node/Configuration.java
+++ b/src/main/java/pumicekeel/node/Configuration.java
@@ -11,11 +11,23 @@
 import pumicekeel.adapter.Decoder;
 import pumicekeel.adapter.Fields;
 
-/** What the platform tells a balancer at its start; a bad value is an IllegalArgumentException that names it. */
-record Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-    HostList known, Settings settings) {
+/**
+ * What the platform tells a balancer at its start; a bad value is an IllegalArgumentException that
+ * names it.
+ */
+record Configuration(
+    String name,
+    InetSocketAddress listen,
+    InetSocketAddress discovery,
+    long seed,
+    int sockets,
+    HostList known,
+    Settings settings) {
 
-  /** Reads the file that PROXY_CONFIG names; the other variables, where set, come before what it says. */
+  /**
+   * Reads the file that PROXY_CONFIG names; the other variables, where set, come before what it
+   * says.
+   */
   static Configuration read(Map<String, String> environment) throws IOException {
     String file = environment.get("PROXY_CONFIG");
     if (file == null) {
@@ -33,12 +45,16 @@
         Decoder.settings(f.nested("settings")));
   }
 
-  /** Reads the file again at a reload: then it wins, for the other variables are as old as the process. */
+  /**
+   * Reads the file again at a reload: then it wins, for the other variables are as old as the
+   * process.
+   */
   static Configuration reread(Map<String, String> environment) throws IOException {
     return read(Map.of("PROXY_CONFIG", environment.getOrDefault("PROXY_CONFIG", "")));
   }
 
-  private static String variable(Map<String, String> environment, String variable, Fields f, String name) {
+  private static String variable(
+      Map<String, String> environment, String variable, Fields f, String name) {
     String value = environment.get(variable);
     return value == null || value.isEmpty() ? f.text(name) : value;
   }
@@ -61,7 +77,8 @@
   /** An address and a port; no names, since there is no DNS and a look-up would block the loop. */
   static InetSocketAddress address(String what, String text) {
     int colon = text.lastIndexOf(':');
-    InetAddress host = colon < 0 ? null : NetUtil.createInetAddressFromIpAddressString(text.substring(0, colon));
+    InetAddress host =
+        colon < 0 ? null : NetUtil.createInetAddressFromIpAddressString(text.substring(0, colon));
     try {
       if (host != null) {
         return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
--- a/src/main/java/pumicekeel/node/ConnectionPool.java
+++ b/src/main/java/pumicekeel/node/ConnectionPool.java
@@ -15,11 +15,17 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Connections to all upstreams: opens them, keeps them few and closes those that have stood idle. */
+/**
+ * Connections to all upstreams: opens them, keeps them few and closes those that have stood idle.
+ */
 final class ConnectionPool {
 
-  /** Idle connections go at this part of the upstream's own limit: one written to after that would end as a reset. */
+  /**
+   * Idle connections go at this part of the upstream's own limit: one written to after that would
+   * end as a reset.
+   */
   private static final double IDLE_PART = 0.7;
+
   private static final int SWEEPS = 20;
 
   private final Bootstrap bootstrap;
@@ -34,12 +40,22 @@
   }
 
   /** One whose sockets {@code sockets} makes. */
-  ConnectionPool(EventLoop loop, long connectTimeoutNanos, long idleNanos, int most, ChannelFactory<Channel> sockets) {
+  ConnectionPool(
+      EventLoop loop,
+      long connectTimeoutNanos,
+      long idleNanos,
+      int most,
+      ChannelFactory<Channel> sockets) {
     this.most = most;
     this.idleNanos = (long) (idleNanos * IDLE_PART);
-    bootstrap = new Bootstrap().group(loop).channelFactory(sockets)
-        .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutNanos / 1_000_000));
+    bootstrap =
+        new Bootstrap()
+            .group(loop)
+            .channelFactory(sockets)
+            .option(ChannelOption.TCP_NODELAY, true)
+            .option(
+                ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                (int) Math.max(1, connectTimeoutNanos / 1_000_000));
     long period = Math.max(1_000_000, this.idleNanos / SWEEPS);
     sweep = loop.scheduleAtFixedRate(this::closeOld, period, period, TimeUnit.NANOSECONDS);
   }
@@ -51,22 +67,32 @@
     return pool;
   }
 
-  /** Opens a connection; null where the limit on sockets, or the process's on descriptors, leaves no room for one. */
+  /**
+   * Opens a connection; null where the limit on sockets, or the process's on descriptors, leaves no
+   * room for one.
+   */
   ChannelFuture connect(UpstreamPool pool) {
     if (open >= most && !closeOldest()) {
       return null;
     }
-    ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
-      @Override
-      protected void initChannel(Channel channel) {
-        AnswerDecoder decoder = new AnswerDecoder();
-        UpstreamConnection connection = new UpstreamConnection(pool, (PeerSocket) channel, decoder);
-        decoder.reader(connection);
-        channel.pipeline().addLast(new HttpRequestEncoder(), decoder, connection);
-      }
-    }).connect(pool.address());
+    ChannelFuture connecting =
+        bootstrap
+            .clone()
+            .handler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(Channel channel) {
+                    AnswerDecoder decoder = new AnswerDecoder();
+                    UpstreamConnection connection =
+                        new UpstreamConnection(pool, (PeerSocket) channel, decoder);
+                    decoder.reader(connection);
+                    channel.pipeline().addLast(new HttpRequestEncoder(), decoder, connection);
+                  }
+                })
+            .connect(pool.address());
     if (!connecting.channel().isRegistered()) {
-      // There is no socket: its end would never be told, and its failure only on another thread than the loop's.
+      // There is no socket: its end would never be told, and its failure only on another thread
+      // than the loop's.
       return null;
     }
     open++;
@@ -93,7 +119,8 @@
     UpstreamConnection oldest = null;
     for (UpstreamPool pool : pools) {
       UpstreamConnection next = pool.oldest();
-      oldest = oldest == null || next != null && next.idleSince - oldest.idleSince < 0 ? next : oldest;
+      oldest =
+          oldest == null || next != null && next.idleSince - oldest.idleSince < 0 ? next : oldest;
     }
     if (oldest != null) {
       oldest.close();
--- a/src/main/java/pumicekeel/node/Counters.java
+++ b/src/main/java/pumicekeel/node/Counters.java
@@ -9,16 +9,31 @@
 import java.util.StringJoiner;
 import pumicekeel.Balancer.Status;
 
-/** What a balancer did since its last report: a line of the log, to set a good stretch beside a bad one. */
+/**
+ * What a balancer did since its last report: a line of the log, to set a good stretch beside a bad
+ * one.
+ */
 final class Counters {
 
   private static final double MILLI = 1e6;
-  /** Upstreams named in a report: those with most attempts that were not served, if that many were not. */
+
+  /**
+   * Upstreams named in a report: those with most attempts that were not served, if that many were
+   * not.
+   */
   private static final int WORST = 3;
+
   private static final int WORST_LEAST = 3;
 
-  /** Upstreams as far as their latencies differ: of the balancer's zone, of another one, just started in either. */
-  enum Kind { NEAR, AWAY, COLD }
+  /**
+   * Upstreams as far as their latencies differ: of the balancer's zone, of another one, just
+   * started in either.
+   */
+  enum Kind {
+    NEAR,
+    AWAY,
+    COLD
+  }
 
   private static final class Upstream {
     private int attempts;
@@ -58,8 +73,17 @@
     left++;
   }
 
-  /** An attempt ended; {@code unsent} passed from the decision to its first byte, {@code latency} from there on. */
-  void ended(InetSocketAddress address, Kind kind, Status status, boolean foundStale, long unsent, long latency) {
+  /**
+   * An attempt ended; {@code unsent} passed from the decision to its first byte, {@code latency}
+   * from there on.
+   */
+  void ended(
+      InetSocketAddress address,
+      Kind kind,
+      Status status,
+      boolean foundStale,
+      long unsent,
+      long latency) {
     Upstream upstream = upstreams.computeIfAbsent(address, a -> new Upstream());
     upstream.attempts++;
     upstream.unserved += status == Status.SERVED ? 0 : 1;
@@ -85,11 +109,26 @@
       byStatus.add(s.name().toLowerCase(Locale.ROOT) + " " + outcomes[s.ordinal()]);
       outcomes[s.ordinal()] = 0;
     }
-    String line = taken + attempts == 0 ? null : String.format(Locale.ROOT,
-        "taken %d, refused at once %d, refused later %d, failed %d, left %d; attempts: %s, stale %d; "
-            + "mean ms: to first byte %.1f, served%s, timed out %.1f; worst loop lag ms %.0f%s",
-        taken, refusedAtOnce, refusedLater, failed, left, byStatus, stale,
-        mean(unsentNanos, attempts), servedByKind(), mean(timeoutNanos, timeouts), lagNanos / MILLI, worst());
+    String line =
+        taken + attempts == 0
+            ? null
+            : String.format(
+                Locale.ROOT,
+                "taken %d, refused at once %d, refused later %d, failed %d, left %d; attempts: %s,"
+                    + " stale %d; mean ms: to first byte %.1f, served%s, timed out %.1f; worst loop"
+                    + " lag ms %.0f%s",
+                taken,
+                refusedAtOnce,
+                refusedLater,
+                failed,
+                left,
+                byStatus,
+                stale,
+                mean(unsentNanos, attempts),
+                servedByKind(),
+                mean(timeoutNanos, timeouts),
+                lagNanos / MILLI,
+                worst());
     upstreams.clear();
     taken = 0;
     refusedAtOnce = 0;
@@ -113,17 +152,27 @@
     StringJoiner text = new StringJoiner(",");
     for (Kind k : Kind.values()) {
       int count = served[k.ordinal()];
-      text.add(String.format(Locale.ROOT, " %s %d %.1f", k.name().toLowerCase(Locale.ROOT), count,
-          mean(servedNanos[k.ordinal()], count)));
+      text.add(
+          String.format(
+              Locale.ROOT,
+              " %s %d %.1f",
+              k.name().toLowerCase(Locale.ROOT),
+              count,
+              mean(servedNanos[k.ordinal()], count)));
     }
     return text.toString();
   }
 
   private String worst() {
     StringJoiner text = new StringJoiner(", ", "; not served: ", "").setEmptyValue("");
-    upstreams.entrySet().stream().filter(e -> e.getValue().unserved >= WORST_LEAST)
-        .sorted(Comparator.comparingInt(e -> -e.getValue().unserved)).limit(WORST)
-        .forEach(e -> text.add(e.getValue().unserved + " of " + e.getValue().attempts + " at " + e.getKey()));
+    upstreams.entrySet().stream()
+        .filter(e -> e.getValue().unserved >= WORST_LEAST)
+        .sorted(Comparator.comparingInt(e -> -e.getValue().unserved))
+        .limit(WORST)
+        .forEach(
+            e ->
+                text.add(
+                    e.getValue().unserved + " of " + e.getValue().attempts + " at " + e.getKey()));
     return text.toString();
   }
 }
--- a/src/main/java/pumicekeel/node/Discovery.java
+++ b/src/main/java/pumicekeel/node/Discovery.java
@@ -29,25 +29,31 @@
 import pumicekeel.adapter.Fields;
 
 /**
- * The watch on discovery. Each call of {@link #watch} ends in news or in one failure; asking again after a failure,
- * and how soon, is the module's decision.
+ * The watch on discovery. Each call of {@link #watch} ends in news or in one failure; asking again
+ * after a failure, and how soon, is the module's decision.
  */
 final class Discovery {
 
   private static final long HEARTBEAT_MILLIS = 2_000;
+
   /** What a heartbeat may be late by on a busy machine. */
   private static final long LATE_MILLIS = 500;
+
   /**
-   * Two heartbeats that stay out mean a connection that nobody serves any more. What there is to tell counts as told
-   * 6 s after the last one: by then another watch has to be on, which the module's back-off may put off by a second.
+   * Two heartbeats that stay out mean a connection that nobody serves any more. What there is to
+   * tell counts as told 6 s after the last one: by then another watch has to be on, which the
+   * module's back-off may put off by a second.
    */
   static final long SILENCE_MILLIS = 2 * HEARTBEAT_MILLIS + LATE_MILLIS;
+
   /**
-   * A call, from the start of its connect, until it has told something: the agent answers at once, but where nothing
-   * has changed the first thing to come may be a heartbeat. After SIGHUP what there is to tell counts as told 4 s
-   * later: a call at the new address that nobody answers has to end with time left for a back-off and another one.
+   * A call, from the start of its connect, until it has told something: the agent answers at once,
+   * but where nothing has changed the first thing to come may be a heartbeat. After SIGHUP what
+   * there is to tell counts as told 4 s later: a call at the new address that nobody answers has to
+   * end with time left for a back-off and another one.
    */
   static final long CALL_MILLIS = HEARTBEAT_MILLIS + LATE_MILLIS;
+
   /** No version of the list is known, so all of it is asked for. */
   private static final long NO_INDEX = -1;
 
@@ -62,14 +68,27 @@
   private boolean wanted;
   private Channel current;
 
-  Discovery(EventLoop loop, InetSocketAddress address, long index, long callMillis, long silenceMillis,
-      Consumer<HostList> news, Runnable failed) {
+  Discovery(
+      EventLoop loop,
+      InetSocketAddress address,
+      long index,
+      long callMillis,
+      long silenceMillis,
+      Consumer<HostList> news,
+      Runnable failed) {
     this(loop, NioSocketChannel::new, address, index, callMillis, silenceMillis, news, failed);
   }
 
   /** One whose sockets {@code sockets} makes. */
-  Discovery(EventLoop loop, ChannelFactory<Channel> sockets, InetSocketAddress address, long index, long callMillis,
-      long silenceMillis, Consumer<HostList> news, Runnable failed) {
+  Discovery(
+      EventLoop loop,
+      ChannelFactory<Channel> sockets,
+      InetSocketAddress address,
+      long index,
+      long callMillis,
+      long silenceMillis,
+      Consumer<HostList> news,
+      Runnable failed) {
     this.loop = loop;
     this.sockets = sockets;
     this.address = address;
@@ -91,8 +110,9 @@
   }
 
   /**
-   * Follows the list at another address from now on. A watch starts there at once, however long the module would
-   * still wait after a failure of the old one; versions of the list there have nothing to do with those here.
+   * Follows the list at another address from now on. A watch starts there at once, however long the
+   * module would still wait after a failure of the old one; versions of the list there have nothing
+   * to do with those here.
    */
   void moveTo(InetSocketAddress next) {
     if (next.equals(address)) {
@@ -118,38 +138,54 @@
   private void connect() {
     ListDecoder lists = new ListDecoder();
     WatchHandler handler = new WatchHandler(lists);
-    ChannelFuture connecting = new Bootstrap().group(loop).channelFactory(sockets)
-        // The call's own bound holds for its connect too.
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
-        .handler(new ChannelInitializer<Channel>() {
-          @Override
-          protected void initChannel(Channel channel) {
-            channel.pipeline().addLast(new HttpClientCodec(), lists, handler);
-          }
-        }).connect(address);
+    ChannelFuture connecting =
+        new Bootstrap()
+            .group(loop)
+            .channelFactory(sockets)
+            // The call's own bound holds for its connect too.
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
+            .handler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(Channel channel) {
+                    channel.pipeline().addLast(new HttpClientCodec(), lists, handler);
+                  }
+                })
+            .connect(address);
     current = connecting.channel();
     handler.start(current);
-    connecting.addListener(connected -> {
-      if (!connected.isSuccess()) {
-        // Of a socket that could not be made Netty tells on a thread of its own.
-        loop.execute(() -> handler.end("cannot connect: " + connected.cause().getMessage()));
-      }
-    });
+    connecting.addListener(
+        connected -> {
+          if (!connected.isSuccess()) {
+            // Of a socket that could not be made Netty tells on a thread of its own.
+            loop.execute(() -> handler.end("cannot connect: " + connected.cause().getMessage()));
+          }
+        });
   }
 
-  /** Where no descriptor was left there is no socket to close, and asking for it is an exception. */
+  /**
+   * Where no descriptor was left there is no socket to close, and asking for it is an exception.
+   */
   private static void close(Channel channel) {
     if (channel.isOpen()) {
       channel.close();
     }
   }
 
-  /** Follows one watch: gets each list once it is whole, and the parts of the answer for what they tell of its end. */
+  /**
+   * Follows one watch: gets each list once it is whole, and the parts of the answer for what they
+   * tell of its end.
+   */
   private final class WatchHandler extends SimpleChannelInboundHandler<Object> {
     private final ListDecoder lists;
     private Channel channel;
-    /** When more has to have come, and a first list all of it; the latter is null once something was told. */
+
+    /**
+     * When more has to have come, and a first list all of it; the latter is null once something was
+     * told.
+     */
     private ScheduledFuture<?> due;
+
     private ScheduledFuture<?> firstDue;
 
     WatchHandler(ListDecoder lists) {
@@ -158,16 +194,22 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      Log.caused("discovery: watches " + address + (index == NO_INDEX ? "" : " from version " + index));
-      DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-          "/discovery/hosts?watch=1" + (index == NO_INDEX ? "" : "&after=" + index));
-      request.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
+      Log.caused(
+          "discovery: watches " + address + (index == NO_INDEX ? "" : " from version " + index));
+      DefaultFullHttpRequest request =
+          new DefaultFullHttpRequest(
+              HttpVersion.HTTP_1_1,
+              HttpMethod.GET,
+              "/discovery/hosts?watch=1" + (index == NO_INDEX ? "" : "&after=" + index));
+      request
+          .headers()
+          .set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
       ctx.writeAndFlush(request);
     }
 
     /**
-     * Bounds the call until it has told something, its connect included: a connection that comes up and an answer's
-     * head are no news, and each would put off the end.
+     * Bounds the call until it has told something, its connect included: a connection that comes up
+     * and an answer's head are no news, and each would put off the end.
      */
     void start(Channel connecting) {
       channel = connecting;
@@ -179,14 +221,20 @@
       return loop.schedule(() -> end(why), millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Guards against a discovery that vanished: its connection stays open and says nothing for ever. */
+    /**
+     * Guards against a discovery that vanished: its connection stays open and says nothing for
+     * ever.
+     */
     private void heard() {
       cancel();
       firstDue = null;
       due = endIn(silenceMillis, "silent");
     }
 
-    /** A long first list is not cut as long as more of it comes, in the time that a watch may be silent for at most. */
+    /**
+     * A long first list is not cut as long as more of it comes, in the time that a watch may be
+     * silent for at most.
+     */
     private void progressed() {
       due.cancel(false);
       due = endIn(callMillis, "first list stopped");
--- a/src/main/java/pumicekeel/node/HostList.java
+++ b/src/main/java/pumicekeel/node/HostList.java
@@ -18,24 +18,35 @@
   record Host(InetSocketAddress address, Listed listed) {}
 
   static HostList of(Fields list) {
-    return new HostList(list.integer("index"), list.bool("snapshot", false),
+    return new HostList(
+        list.integer("index"),
+        list.bool("snapshot", false),
         list.objects("endpoints").stream().map(HostList::host).toList());
   }
 
   /** For the log: how much it holds, and not all of it. */
   @Override
   public String toString() {
-    StringBuilder text = new StringBuilder("version " + index + (whole ? ", the whole list" : ", changes"));
+    StringBuilder text =
+        new StringBuilder("version " + index + (whole ? ", the whole list" : ", changes"));
     for (State state : State.values()) {
-      text.append(", ").append(hosts.stream().filter(h -> h.listed().state() == state).count())
-          .append(' ').append(state.name().toLowerCase(Locale.ROOT));
+      text.append(", ")
+          .append(hosts.stream().filter(h -> h.listed().state() == state).count())
+          .append(' ')
+          .append(state.name().toLowerCase(Locale.ROOT));
     }
     return text.toString();
   }
 
   private static Host host(Fields f) {
-    Listed listed = new Listed(idOf(f.text("name")), f.text("zone", ""), (int) f.integer("group", 0),
-        f.word("status", STATUS), f.integer("since_ms", 0) * 1_000_000L, f.number("weight", 1));
+    Listed listed =
+        new Listed(
+            idOf(f.text("name")),
+            f.text("zone", ""),
+            (int) f.integer("group", 0),
+            f.word("status", STATUS),
+            f.integer("since_ms", 0) * 1_000_000L,
+            f.number("weight", 1));
     return new Host(Configuration.address("address", f.text("address")), listed);
   }
 
--- a/src/main/java/pumicekeel/node/ListDecoder.java
+++ b/src/main/java/pumicekeel/node/ListDecoder.java
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.json.JsonObjectDecoder;
 
 /**
- * Cuts the body of a watch's answer into lists, wherever its chunks and its lines end: a list may come indented over
- * several lines. Whole lists go on ahead of the message that completed them.
+ * Cuts the body of a watch's answer into lists, wherever its chunks and its lines end: a list may
+ * come indented over several lines. Whole lists go on ahead of the message that completed them.
  */
 final class ListDecoder extends JsonObjectDecoder {
 
@@ -24,7 +24,10 @@
     return actualReadableBytes() > 0;
   }
 
-  /** Whether the latest part of the body held nothing of a list: a heartbeat, though it may stand inside one. */
+  /**
+   * Whether the latest part of the body held nothing of a list: a heartbeat, though it may stand
+   * inside one.
+   */
   boolean blank() {
     return blank;
   }
--- a/src/main/java/pumicekeel/node/Log.java
+++ b/src/main/java/pumicekeel/node/Log.java
@@ -7,8 +7,12 @@
 /** The balancer's log: changes of state, a line each, on standard error. */
 final class Log {
 
-  /** Lines a second that peers may cause together: more tell nothing new, and a flood of them costs the core. */
+  /**
+   * Lines a second that peers may cause together: more tell nothing new, and a flood of them costs
+   * the core.
+   */
   private static final int CAUSED_PER_SECOND = 5;
+
   private static final AtomicLong SECOND = new AtomicLong();
   private static final AtomicInteger CAUSED = new AtomicInteger();
 
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -13,17 +13,27 @@
 /** One real balancer: the module on sockets, all of it on one event-loop thread. */
 public final class Node {
 
-  /** Shares of the sockets for clients and for upstreams; the rest is for discovery and the process itself. */
+  /**
+   * Shares of the sockets for clients and for upstreams; the rest is for discovery and the process
+   * itself.
+   */
   private static final double CLIENT_SHARE = 0.45;
+
   private static final double UPSTREAM_SHARE = 0.4;
-  /** After SIGTERM new clients still come for 0.4 s, and SIGKILL comes the longest deadline, 3 s at most, and 0.7 s
-   * later: all is answered by a little before that. Clients use the connections that they have as long as these stay
-   * open, and another balancer may be away: until a second before the end they are served as ever. */
+
+  /**
+   * After SIGTERM new clients still come for 0.4 s, and SIGKILL comes the longest deadline, 3 s at
+   * most, and 0.7 s later: all is answered by a little before that. Clients use the connections
+   * that they have as long as these stay open, and another balancer may be away: until a second
+   * before the end they are served as ever.
+   */
   private static final long ACCEPT_MILLIS = 500;
+
   private static final long LONGEST_DEADLINE_MILLIS = 3_000;
   private static final long END_MILLIS = 500;
   private static final long LAST_MILLIS = 1_000;
   private static final long POLL_MILLIS = 10;
+
   /** Often enough to tell a bad stretch from a good one, and 20,000 lines a day at most. */
   private static final long REPORT_MILLIS = 5_000;
 
@@ -43,18 +53,41 @@
     this.configuration = configuration;
     this.crash = crash;
     var settings = configuration.settings();
-    ConnectionPool pool = new ConnectionPool(loop, settings.limits().connectTimeoutNanos(),
-        settings.limits().connectionIdleNanos(), (int) (configuration.sockets() * UPSTREAM_SHARE));
-    core = new BalancerCore(settings, new AdaptiveBalancer(settings, configuration.seed()), new Clock(), loop, lag,
-        pool, this::defect);
-    clients = new ClientSide(loop, settings, core, (int) (configuration.sockets() * CLIENT_SHARE),
-        warmUpPath);
-    discovery = new Discovery(loop, configuration.discovery(), configuration.known().index(),
-        Discovery.CALL_MILLIS, Discovery.SILENCE_MILLIS, core::news, core::watchFailed);
+    ConnectionPool pool =
+        new ConnectionPool(
+            loop,
+            settings.limits().connectTimeoutNanos(),
+            settings.limits().connectionIdleNanos(),
+            (int) (configuration.sockets() * UPSTREAM_SHARE));
+    core =
+        new BalancerCore(
+            settings,
+            new AdaptiveBalancer(settings, configuration.seed()),
+            new Clock(),
+            loop,
+            lag,
+            pool,
+            this::defect);
+    clients =
+        new ClientSide(
+            loop, settings, core, (int) (configuration.sockets() * CLIENT_SHARE), warmUpPath);
+    discovery =
+        new Discovery(
+            loop,
+            configuration.discovery(),
+            configuration.known().index(),
+            Discovery.CALL_MILLIS,
+            Discovery.SILENCE_MILLIS,
+            core::news,
+            core::watchFailed);
   }
 
-  /** Runs a balancer until SIGTERM; the exit status, 2 for a configuration or an address that is no good. */
-  public static int serve(Map<String, String> environment, PrintStream err) throws InterruptedException {
+  /**
+   * Runs a balancer until SIGTERM; the exit status, 2 for a configuration or an address that is no
+   * good.
+   */
+  public static int serve(Map<String, String> environment, PrintStream err)
+      throws InterruptedException {
     Node node;
     try {
       Configuration configuration = Configuration.read(environment);
@@ -62,22 +95,31 @@
       Reload.onHangup(environment, node::reload);
       node.start();
     } catch (IOException | RuntimeException e) {
-      err.println("configuration: " + String.valueOf(e.getMessage()).replace('\n', ' ') + ": "
-          + e.getClass().getSimpleName());
+      err.println(
+          "configuration: "
+              + String.valueOf(e.getMessage()).replace('\n', ' ')
+              + ": "
+              + e.getClass().getSimpleName());
       return 2;
     }
-    // A hook, since Java's own answer to SIGTERM is to end at once; halt, for its status would be 143.
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-      node.drain();
-      node.awaitDrained();
-      Runtime.getRuntime().halt(0);
-    }, "drain"));
+    // A hook, since Java's own answer to SIGTERM is to end at once; halt, for its status would be
+    // 143.
+    Runtime.getRuntime()
+        .addShutdownHook(
+            new Thread(
+                () -> {
+                  node.drain();
+                  node.awaitDrained();
+                  Runtime.getRuntime().halt(0);
+                },
+                "drain"));
     node.awaitDrained();
     return 0;
   }
 
   /** Starts as {@code serve} does and ends once ready: what the class-data archive is made from. */
-  public static int rehearse(Map<String, String> environment) throws IOException, InterruptedException {
+  public static int rehearse(Map<String, String> environment)
+      throws IOException, InterruptedException {
     Node node = new Node(Configuration.read(environment), () -> Runtime.getRuntime().halt(1));
     node.start();
     node.ready.await();
@@ -87,41 +129,67 @@
   /** Listens and follows the list; the address that clients connect to. */
   InetSocketAddress start() throws InterruptedException {
     InetSocketAddress address = clients.listen(configuration.listen());
-    loop.execute(() -> {
-      core.start(configuration.known(), discovery::watch);
-      // Whatever the settings say of how the list comes: on sockets only one who watches is told of it.
-      discovery.watch(true);
-      WarmUp.run(loop, lag, address, warmUpPath, configuration.settings(), requests -> {
-        Log.line("warmed up with " + requests + " requests");
-        clients.setReady();
-        loop.scheduleAtFixedRate(core::report, REPORT_MILLIS, REPORT_MILLIS, TimeUnit.MILLISECONDS);
-        Log.line(configuration.name() + " of zone " + configuration.settings().zone() + " serves at " + address);
-        ready.countDown();
-      });
-    });
+    loop.execute(
+        () -> {
+          core.start(configuration.known(), discovery::watch);
+          // Whatever the settings say of how the list comes: on sockets only one who watches is
+          // told of it.
+          discovery.watch(true);
+          WarmUp.run(
+              loop,
+              lag,
+              address,
+              warmUpPath,
+              configuration.settings(),
+              requests -> {
+                Log.line("warmed up with " + requests + " requests");
+                clients.setReady();
+                loop.scheduleAtFixedRate(
+                    core::report, REPORT_MILLIS, REPORT_MILLIS, TimeUnit.MILLISECONDS);
+                Log.line(
+                    configuration.name()
+                        + " of zone "
+                        + configuration.settings().zone()
+                        + " serves at "
+                        + address);
+                ready.countDown();
+              });
+        });
     return address;
   }
 
-  /** Takes over from a new configuration what may change while the balancer runs: the address of discovery. */
+  /**
+   * Takes over from a new configuration what may change while the balancer runs: the address of
+   * discovery.
+   */
   void reload(Configuration next) {
-    loop.execute(() -> {
-      Log.line(configuration.name() + " reloads: discovery at " + next.discovery());
-      discovery.moveTo(next.discovery());
-    });
+    loop.execute(
+        () -> {
+          Log.line(configuration.name() + " reloads: discovery at " + next.discovery());
+          discovery.moveTo(next.discovery());
+        });
   }
 
   /** Begins a planned stop: answers what was taken, takes nothing new after a while. */
   void drain() {
-    loop.execute(() -> {
-      Log.line(configuration.name() + " drains");
-      clients.drain();
-      long end = END_MILLIS + Math.min(LONGEST_DEADLINE_MILLIS, configuration.settings().classes().stream()
-          .mapToLong(c -> TimeUnit.NANOSECONDS.toMillis(c.deadlineNanos())).max().orElse(0));
-      core.endBy(TimeUnit.MILLISECONDS.toNanos(end));
-      loop.schedule(clients::stopListening, ACCEPT_MILLIS, TimeUnit.MILLISECONDS);
-      loop.schedule(this::endOnceIdle, Math.max(ACCEPT_MILLIS, end - LAST_MILLIS), TimeUnit.MILLISECONDS);
-      loop.schedule(clients::endUntaken, end, TimeUnit.MILLISECONDS);
-    });
+    loop.execute(
+        () -> {
+          Log.line(configuration.name() + " drains");
+          clients.drain();
+          long end =
+              END_MILLIS
+                  + Math.min(
+                      LONGEST_DEADLINE_MILLIS,
+                      configuration.settings().classes().stream()
+                          .mapToLong(c -> TimeUnit.NANOSECONDS.toMillis(c.deadlineNanos()))
+                          .max()
+                          .orElse(0));
+          core.endBy(TimeUnit.MILLISECONDS.toNanos(end));
+          loop.schedule(clients::stopListening, ACCEPT_MILLIS, TimeUnit.MILLISECONDS);
+          loop.schedule(
+              this::endOnceIdle, Math.max(ACCEPT_MILLIS, end - LAST_MILLIS), TimeUnit.MILLISECONDS);
+          loop.schedule(clients::endUntaken, end, TimeUnit.MILLISECONDS);
+        });
   }
 
   private void endOnceIdle() {
@@ -143,9 +211,16 @@
     }
   }
 
-  /** A defect of the module: its word is worth nothing any more, so all that is open is answered without it. */
+  /**
+   * A defect of the module: its word is worth nothing any more, so all that is open is answered
+   * without it.
+   */
   private void defect(RuntimeException e) {
-    Log.line("defect of the module: " + e + " at " + (e.getStackTrace().length == 0 ? "?" : e.getStackTrace()[0]));
+    Log.line(
+        "defect of the module: "
+            + e
+            + " at "
+            + (e.getStackTrace().length == 0 ? "?" : e.getStackTrace()[0]));
     core.answerAll();
     crash.run();
   }
--- a/src/main/java/pumicekeel/node/OpenRequest.java
+++ b/src/main/java/pumicekeel/node/OpenRequest.java
@@ -11,8 +11,10 @@
 
   final ClientRequest request;
   final Client client;
+
   /** When the module has to have answered, by the balancer's clock. */
   final long deadline;
+
   final List<UpstreamAttempt> attempts = new ArrayList<>(1);
   ScheduledFuture<?> guard;
   boolean ended;
@@ -33,13 +35,19 @@
 
   /** Whether a refusal's promise, that trying again is harmless, would be true. */
   boolean mayRefuse() {
-    return request.type().effect() == Effect.SAFE || !mayHaveRun()
+    return request.type().effect() == Effect.SAFE
+        || !mayHaveRun()
         || request.type().effect() == Effect.KEYED && request.type().dedupScope() == DedupScope.ALL;
   }
 
   /** Whether what an earlier attempt may have done is still remembered by its upstream's group. */
   boolean repeatIsHarmless(long now) {
-    return request.type().effect() == Effect.SAFE || attempts.stream().filter(UpstreamAttempt::mayHaveRun)
-        .allMatch(a -> request.type().effect() == Effect.KEYED && now - a.sentAt() < request.type().dedupWindowNanos());
+    return request.type().effect() == Effect.SAFE
+        || attempts.stream()
+            .filter(UpstreamAttempt::mayHaveRun)
+            .allMatch(
+                a ->
+                    request.type().effect() == Effect.KEYED
+                        && now - a.sentAt() < request.type().dedupWindowNanos());
   }
 }
--- a/src/main/java/pumicekeel/node/PeerSocket.java
+++ b/src/main/java/pumicekeel/node/PeerSocket.java
@@ -6,7 +6,10 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
 
-/** The socket of a connection to a client or an upstream, which can be asked what the event loop has not read yet. */
+/**
+ * The socket of a connection to a client or an upstream, which can be asked what the event loop has
+ * not read yet.
+ */
 final class PeerSocket extends NioSocketChannel {
 
   private static final int SKIP_BYTES = 4096;
@@ -19,7 +22,10 @@
     super(listener, socket);
   }
 
-  /** What waits unread: 0 for nothing, 1 for bytes, of which this takes the first, and -1 for the peer's end. */
+  /**
+   * What waits unread: 0 for nothing, 1 for bytes, of which this takes the first, and -1 for the
+   * peer's end.
+   */
   int ahead() {
     try {
       return isActive() ? javaChannel().read(ByteBuffer.allocate(1)) : -1;
@@ -28,7 +34,10 @@
     }
   }
 
-  /** Takes what waits unread, at most so many bytes: how many that were, or -1 where the peer's end lies behind them. */
+  /**
+   * Takes what waits unread, at most so many bytes: how many that were, or -1 where the peer's end
+   * lies behind them.
+   */
   int skip(int most) {
     int skipped = ahead();
     if (skipped <= 0) {
--- a/src/main/java/pumicekeel/node/Reload.java
+++ b/src/main/java/pumicekeel/node/Reload.java
@@ -14,14 +14,21 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** SIGHUP: reads the configuration again. Without it Java's answer to that signal is to end, as at SIGTERM. */
+/**
+ * SIGHUP: reads the configuration again. Without it Java's answer to that signal is to end, as at
+ * SIGTERM.
+ */
 final class Reload {
 
-  /** Period of the looks where no signal can come: short against the 1.5 s that discovery's old address stays. */
+  /**
+   * Period of the looks where no signal can come: short against the 1.5 s that discovery's old
+   * address stays.
+   */
   private static final long LOOK_MILLIS = 500;
 
   private final Map<String, String> environment;
   private final Consumer<Configuration> next;
+
   /** What the file was when it was last looked at. */
   private List<Object> seen = List.of();
 
@@ -31,23 +38,29 @@
   }
 
   /**
-   * Hands over a new configuration at each SIGHUP; one that is no good costs a line of the log and changes nothing.
-   * A thread of its own reads the file, since the event loop must not wait for it, and one alone, or an older reading
-   * could overtake a newer one.
+   * Hands over a new configuration at each SIGHUP; one that is no good costs a line of the log and
+   * changes nothing. A thread of its own reads the file, since the event loop must not wait for it,
+   * and one alone, or an older reading could overtake a newer one.
    */
   static void onHangup(Map<String, String> environment, Consumer<Configuration> next) {
     Reload reload = new Reload(environment, next);
-    ScheduledExecutorService reader = Executors.newSingleThreadScheduledExecutor(work -> {
-      Thread thread = new Thread(work, "reload");
-      thread.setDaemon(true);
-      return thread;
-    });
+    ScheduledExecutorService reader =
+        Executors.newSingleThreadScheduledExecutor(
+            work -> {
+              Thread thread = new Thread(work, "reload");
+              thread.setDaemon(true);
+              return thread;
+            });
     SignalHandler before = Signal.handle(new Signal("HUP"), signal -> reader.execute(reload::read));
     if (before.equals(SignalHandler.SIG_IGN)) {
-      // Java leaves a signal alone that its parent ignored, as nohup does, and nothing in Java can change that.
-      Log.line("reload: started with SIGHUP ignored, so the configuration is read again when its file changes");
+      // Java leaves a signal alone that its parent ignored, as nohup does, and nothing in Java can
+      // change that.
+      Log.line(
+          "reload: started with SIGHUP ignored, so the configuration is read again when its file"
+              + " changes");
       reload.changed();
-      reader.scheduleWithFixedDelay(reload::readIfChanged, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+      reader.scheduleWithFixedDelay(
+          reload::readIfChanged, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -57,7 +70,10 @@
     }
   }
 
-  /** Whether the file is another one or was written since the last look; one that is missing is on its way. */
+  /**
+   * Whether the file is another one or was written since the last look; one that is missing is on
+   * its way.
+   */
   private boolean changed() {
     try {
       BasicFileAttributes file =
--- a/src/main/java/pumicekeel/node/RequestHead.java
+++ b/src/main/java/pumicekeel/node/RequestHead.java
@@ -9,8 +9,8 @@
 import pumicekeel.node.ClientRequest.Bad;
 
 /**
- * Checks of a request's framing, at its head: guards against a request that hides another in its body, and against
- * bodies that would be read only to be refused.
+ * Checks of a request's framing, at its head: guards against a request that hides another in its
+ * body, and against bodies that would be read only to be refused.
  */
 final class RequestHead {
 
@@ -23,7 +23,8 @@
     List<String> lengths = head.headers().getAll(HttpHeaderNames.CONTENT_LENGTH);
     List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
     if (lengths.size() + codings.size() > 1
-        || !codings.isEmpty() && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
+        || !codings.isEmpty()
+            && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
       throw new Bad(400, "more than one way to tell where the body ends");
     }
     if (HttpUtil.getContentLength(head, 0L) > Answer.MAX_BODY) {
--- a/src/main/java/pumicekeel/node/RoundedEventLoop.java
+++ b/src/main/java/pumicekeel/node/RoundedEventLoop.java
@@ -5,10 +5,11 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 
 /**
- * An event loop whose timers fire at the next whole millisecond or later. NIO waits in milliseconds, and Netty rounds
- * the time to the next timer to the nearest: woken up to half of one too early, it then looks at its sockets over and
- * over until the timer is due, a hundred times a second with this balancer's timers. On a part of a core that is the
- * time of requests. It costs a timer less than a millisecond.
+ * An event loop whose timers fire at the next whole millisecond or later. NIO waits in
+ * milliseconds, and Netty rounds the time to the next timer to the nearest: woken up to half of one
+ * too early, it then looks at its sockets over and over until the timer is due, a hundred times a
+ * second with this balancer's timers. On a part of a core that is the time of requests. It costs a
+ * timer less than a millisecond.
  */
 final class RoundedEventLoop extends SingleThreadIoEventLoop {
 
--- a/src/main/java/pumicekeel/node/UpstreamAttempt.java
+++ b/src/main/java/pumicekeel/node/UpstreamAttempt.java
@@ -16,7 +16,10 @@
 /** One Send of the module: from the decision to exactly one outcome. */
 final class UpstreamAttempt {
 
-  /** A kept connection that breaks within so long of the request was broken before: no upstream answers as fast. */
+  /**
+   * A kept connection that breaks within so long of the request was broken before: no upstream
+   * answers as fast.
+   */
   private static final long STALE_NANOS = 50_000_000L;
 
   /** Told how the attempt ended; the answer is null where none came whole. */
@@ -47,11 +50,21 @@
     this.ending = ending;
   }
 
-  /** Sends on an idle connection or a new one; {@code maySend} is asked again right before the first byte. */
-  void start(ClientRequest request, long timeoutNanos, BooleanSupplier maySend, Clock clock, EventLoop loop) {
+  /**
+   * Sends on an idle connection or a new one; {@code maySend} is asked again right before the first
+   * byte.
+   */
+  void start(
+      ClientRequest request,
+      long timeoutNanos,
+      BooleanSupplier maySend,
+      Clock clock,
+      EventLoop loop) {
     this.clock = clock;
     this.timeoutNanos = timeoutNanos;
-    timeout = loop.schedule(() -> end(Status.TIMEOUT, null), Math.max(0, timeoutNanos), TimeUnit.NANOSECONDS);
+    timeout =
+        loop.schedule(
+            () -> end(Status.TIMEOUT, null), Math.max(0, timeoutNanos), TimeUnit.NANOSECONDS);
     UpstreamConnection idle = pool.takeIdle();
     if (idle != null) {
       write(idle, request, timeoutNanos, maySend);
@@ -62,18 +75,24 @@
       end(Status.CONNECT_FAILED, null);
       return;
     }
-    connecting.addListener(done -> {
-      if (status != null) {
-        connecting.channel().close();
-      } else if (!done.isSuccess()) {
-        end(Status.CONNECT_FAILED, null);
-      } else {
-        write(connecting.channel().pipeline().get(UpstreamConnection.class), request, timeoutNanos, maySend);
-      }
-    });
+    connecting.addListener(
+        done -> {
+          if (status != null) {
+            connecting.channel().close();
+          } else if (!done.isSuccess()) {
+            end(Status.CONNECT_FAILED, null);
+          } else {
+            write(
+                connecting.channel().pipeline().get(UpstreamConnection.class),
+                request,
+                timeoutNanos,
+                maySend);
+          }
+        });
   }
 
-  private void write(UpstreamConnection to, ClientRequest request, long timeoutNanos, BooleanSupplier maySend) {
+  private void write(
+      UpstreamConnection to, ClientRequest request, long timeoutNanos, BooleanSupplier maySend) {
     if (!maySend.getAsBoolean()) {
       to.giveBack();
       end(Status.NOT_SENT, null);
@@ -87,9 +106,15 @@
   }
 
   private FullHttpRequest message(ClientRequest request, long leftMillis) {
-    FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri(),
-        Unpooled.wrappedBuffer(request.body()));
-    message.headers().set(HttpHeaderNames.HOST, request.host())
+    FullHttpRequest message =
+        new DefaultFullHttpRequest(
+            HttpVersion.HTTP_1_1,
+            request.method(),
+            request.uri(),
+            Unpooled.wrappedBuffer(request.body()));
+    message
+        .headers()
+        .set(HttpHeaderNames.HOST, request.host())
         .set(ClientRequest.ID, request.id())
         .set(ClientRequest.TIME_LEFT, leftMillis)
         .set(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
@@ -130,22 +155,28 @@
   }
 
   /**
-   * From the first byte's writing to the time given, when the answer came; of one that was not sent, from the decision.
-   * What passes before the writing is a connect, which a slow loop makes long, and no upstream's work.
+   * From the first byte's writing to the time given, when the answer came; of one that was not
+   * sent, from the decision. What passes before the writing is a connect, which a slow loop makes
+   * long, and no upstream's work.
    */
   long latencyNanos(long until) {
     return Math.max(0, until - (sent ? sentAt : decidedAt));
   }
 
-  /** Ends the attempt once; one that ends otherwise than by an answer takes its connection with it. */
+  /**
+   * Ends the attempt once; one that ends otherwise than by an answer takes its connection with it.
+   */
   void end(Status how, Answer answer) {
     if (status != null) {
       return;
     }
     status = how;
     timeout.cancel(false);
-    stale = how == Status.RESET && connecting == null && connection.nothingHeard()
-        && clock.now() - sentAt < STALE_NANOS;
+    stale =
+        how == Status.RESET
+            && connecting == null
+            && connection.nothingHeard()
+            && clock.now() - sentAt < STALE_NANOS;
     if (stale) {
       // What was kept for longer has most likely gone the same way, and would cost an attempt each.
       pool.closeOlderThan(connection.idleSince);
@@ -158,7 +189,8 @@
       }
     }
     if (how == Status.TIMEOUT && !pool.heardWithin(timeoutNanos)) {
-      // A machine that vanished keeps its connections open and silent: none of them is used again. One that still
+      // A machine that vanished keeps its connections open and silent: none of them is used again.
+      // One that still
       // answers others was only slow, and closing all would cost it a storm of new connections.
       pool.closeIdle();
     }
--- a/src/main/java/pumicekeel/node/UpstreamConnection.java
+++ b/src/main/java/pumicekeel/node/UpstreamConnection.java
@@ -20,13 +20,19 @@
 import pumicekeel.Balancer.Status;
 
 /**
- * A connection to an upstream: sends one attempt at a time and reads how it ended. Only once a read is over with
- * nothing left is the connection used again: whatever else comes on it belongs to no request.
+ * A connection to an upstream: sends one attempt at a time and reads how it ended. Only once a read
+ * is over with nothing left is the connection used again: whatever else comes on it belongs to no
+ * request.
  */
-final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> implements RawReader {
+final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject>
+    implements RawReader {
 
   private static final byte[] START = "HTTP/1.1 ".getBytes(StandardCharsets.US_ASCII);
-  /** From an answer's first byte to its last: it is small and written whole, so one that stalls is spoilt. */
+
+  /**
+   * From an answer's first byte to its last: it is small and written whole, so one that stalls is
+   * spoilt.
+   */
   private static final long ANSWER_MILLIS = 300;
 
   private final UpstreamPool pool;
@@ -50,8 +56,9 @@
   }
 
   /**
-   * False where the peer has closed, or has sent what nobody asked for. Guards a reuse against what the loop has still
-   * to read: a second copy of the last answer would be taken for the answer to the next request.
+   * False where the peer has closed, or has sent what nobody asked for. Guards a reuse against what
+   * the loop has still to read: a second copy of the last answer would be taken for the answer to
+   * the next request.
    */
   boolean usable() {
     return channel.ahead() == 0;
@@ -76,7 +83,10 @@
     written = channel.writeAndFlush(request);
   }
 
-  /** Gives up what is on this connection so that nothing of it reaches the upstream later, which a mere end would. */
+  /**
+   * Gives up what is on this connection so that nothing of it reaches the upstream later, which a
+   * mere end would.
+   */
   void abort() {
     if (channel.isOpen()) {
       channel.config().setSoLinger(0);
@@ -130,7 +140,10 @@
     return response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
   }
 
-  /** The read is over: a whole answer counts, whatever came behind it, and anything else that is too much does not. */
+  /**
+   * The read is over: a whole answer counts, whatever came behind it, and anything else that is too
+   * much does not.
+   */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
     if (whole && attempt != null) {
@@ -151,13 +164,17 @@
     UpstreamAttempt ended = attempt;
     attempt = null;
     stopWaiting();
-    if (!surplus && !decoder.leftOver() && HttpUtil.isKeepAlive(response) && written.isSuccess()
+    if (!surplus
+        && !decoder.leftOver()
+        && HttpUtil.isKeepAlive(response)
+        && written.isSuccess()
         && channel.isActive()) {
       pool.giveBack(this);
     } else {
       channel.close();
     }
-    ended.end(AnswerHead.statusOf(response),
+    ended.end(
+        AnswerHead.statusOf(response),
         new Answer(body.toByteArray(), response.headers().get(HttpHeaderNames.CONTENT_TYPE)));
   }
 
@@ -181,7 +198,10 @@
     broken();
   }
 
-  /** The connection is of no use any more: what was on it ran perhaps, if its last byte went out or an answer came. */
+  /**
+   * The connection is of no use any more: what was on it ran perhaps, if its last byte went out or
+   * an answer came.
+   */
   private void broken() {
     UpstreamAttempt ended = attempt;
     close();
--- a/src/main/java/pumicekeel/node/UpstreamPool.java
+++ b/src/main/java/pumicekeel/node/UpstreamPool.java
@@ -6,8 +6,9 @@
 import java.util.List;
 
 /**
- * The idle connections to one upstream, one request each at a time; the one that was used last is used first. It
- * belongs to the upstream and not to its address: a successor at the same address must not get its predecessor's.
+ * The idle connections to one upstream, one request each at a time; the one that was used last is
+ * used first. It belongs to the upstream and not to its address: a successor at the same address
+ * must not get its predecessor's.
  */
 final class UpstreamPool {
 
@@ -26,7 +27,10 @@
     return address;
   }
 
-  /** The idle connection that was used last, or null; one on which anything waits unread is of no use. */
+  /**
+   * The idle connection that was used last, or null; one on which anything waits unread is of no
+   * use.
+   */
   UpstreamConnection takeIdle() {
     UpstreamConnection newest = idle.pollFirst();
     while (newest != null && !newest.usable()) {
--- a/src/main/java/pumicekeel/node/UpstreamTable.java
+++ b/src/main/java/pumicekeel/node/UpstreamTable.java
@@ -8,7 +8,9 @@
 import pumicekeel.Balancer.Listed;
 import pumicekeel.Balancer.State;
 
-/** The upstreams that the list names, and those that it named as long as attempts are out to them. */
+/**
+ * The upstreams that the list names, and those that it named as long as attempts are out to them.
+ */
 final class UpstreamTable {
 
   /** An upstream as the list last told of it, with its connections. */
@@ -45,7 +47,10 @@
     this.pools = pools;
   }
 
-  /** The upstream of this id; null where the list never named it, or it is gone and nothing is out to it. */
+  /**
+   * The upstream of this id; null where the list never named it, or it is gone and nothing is out
+   * to it.
+   */
   Entry get(long id) {
     return entries.get(id);
   }
@@ -62,7 +67,9 @@
       update(host);
     }
     if (whole) {
-      List.copyOf(entries.values()).stream().filter(e -> !named.contains(e.id)).forEach(e -> leave(e, true));
+      List.copyOf(entries.values()).stream()
+          .filter(e -> !named.contains(e.id))
+          .forEach(e -> leave(e, true));
     }
   }
 
--- a/src/main/java/pumicekeel/node/WarmUp.java
+++ b/src/main/java/pumicekeel/node/WarmUp.java
@@ -20,8 +20,9 @@
 import pumicekeel.Balancer.State;
 
 /**
- * Guards the first clients from a cold JVM: before the balancer says that it is up, made-up requests run through all
- * of its code, with a module and a pool of their own, to a path of the balancer's own that nobody else knows.
+ * Guards the first clients from a cold JVM: before the balancer says that it is up, made-up
+ * requests run through all of its code, with a module and a pool of their own, to a path of the
+ * balancer's own that nobody else knows.
  */
 final class WarmUp {
 
@@ -29,11 +30,14 @@
   private static final int AT_ONCE = 8;
   private static final int UPSTREAMS = 3;
   private static final int KEYS = 50;
+
   /**
-   * Only for a balancer that cannot reach itself: clients come after 30 s all the same. Slow progress is no reason to
-   * end: on half a core the code is compiled late, and a balancer that is up before that fails its first clients.
+   * Only for a balancer that cannot reach itself: clients come after 30 s all the same. Slow
+   * progress is no reason to end: on half a core the code is compiled late, and a balancer that is
+   * up before that fails its first clients.
    */
   private static final long LONGEST_NANOS = 20_000_000_000L;
+
   private static final long SECOND = 1_000_000_000L;
 
   private final EventLoop loop;
@@ -47,13 +51,24 @@
   private final List<EmbeddedChannel> clients = new ArrayList<>();
   private int sent;
 
-  /** Runs on the loop and tells {@code done} there how many requests it made, after so many or so long. */
-  static void run(EventLoop loop, LoopLag lag, InetSocketAddress self, String path, Settings settings,
+  /**
+   * Runs on the loop and tells {@code done} there how many requests it made, after so many or so
+   * long.
+   */
+  static void run(
+      EventLoop loop,
+      LoopLag lag,
+      InetSocketAddress self,
+      String path,
+      Settings settings,
       IntConsumer done) {
     new WarmUp(loop, lag, path, settings, done).start(self);
   }
 
-  /** A path that no client can guess: only this process's warm-up is answered without having asked for a class. */
+  /**
+   * A path that no client can guess: only this process's warm-up is answered without having asked
+   * for a class.
+   */
   static String newPath() {
     return "/" + UUID.randomUUID();
   }
@@ -62,14 +77,43 @@
     this.loop = loop;
     this.path = path;
     this.done = done;
-    RequestClass type = new RequestClass(path.substring(1), Effect.SAFE, DedupScope.ALL, SECOND, SECOND, 0,
-        2 * SECOND, 1, 0, false);
-    Settings settings = new Settings(0, 1, real.zone(), List.of(type), real.tenants(), real.limits(),
-        real.contract(), real.prices(), false, real.weightKind(), real.overShareWorth(), real.warmKeys(),
-        real.tickNanos());
+    RequestClass type =
+        new RequestClass(
+            path.substring(1),
+            Effect.SAFE,
+            DedupScope.ALL,
+            SECOND,
+            SECOND,
+            0,
+            2 * SECOND,
+            1,
+            0,
+            false);
+    Settings settings =
+        new Settings(
+            0,
+            1,
+            real.zone(),
+            List.of(type),
+            real.tenants(),
+            real.limits(),
+            real.contract(),
+            real.prices(),
+            false,
+            real.weightKind(),
+            real.overShareWorth(),
+            real.warmKeys(),
+            real.tickNanos());
     pool = new ConnectionPool(loop, SECOND, SECOND, AT_ONCE);
-    core = new BalancerCore(settings, new AdaptiveBalancer(settings, 0), clock, loop, lag, pool,
-        e -> Log.line("defect of the module while warming up: " + e));
+    core =
+        new BalancerCore(
+            settings,
+            new AdaptiveBalancer(settings, 0),
+            clock,
+            loop,
+            lag,
+            pool,
+            e -> Log.line("defect of the module while warming up: " + e));
     side = new ClientSide(loop, settings, core, AT_ONCE, null);
   }
 
@@ -81,7 +125,8 @@
     core.start(new HostList(0, true, hosts), on -> {});
     for (int i = 0; i < AT_ONCE; i++) {
       ClientHandler handler = new ClientHandler(side);
-      clients.add(new EmbeddedChannel(new RequestDecoder(handler), new HttpResponseEncoder(), handler));
+      clients.add(
+          new EmbeddedChannel(new RequestDecoder(handler), new HttpResponseEncoder(), handler));
     }
     loop.execute(this::round);
   }
@@ -104,9 +149,19 @@
 
   private String request(int number) {
     var tenants = side.settings().tenants();
-    return "GET " + path + " HTTP/1.1\r\nHost: warm-up\r\n" + ClientRequest.ID + ": warm-up-" + number
-        + "\r\nX-Service-Class: " + path.substring(1) + "\r\nX-Session-Key: " + number % KEYS
+    return "GET "
+        + path
+        + " HTTP/1.1\r\nHost: warm-up\r\n"
+        + ClientRequest.ID
+        + ": warm-up-"
+        + number
+        + "\r\nX-Service-Class: "
+        + path.substring(1)
+        + "\r\nX-Session-Key: "
+        + number % KEYS
         + (tenants.isEmpty() ? "" : "\r\nX-Account: " + tenants.get(number % tenants.size()).name())
-        + "\r\n" + ClientRequest.TIME_LEFT + ": 1000\r\nX-Weight-Hint: 1000\r\n\r\n";
+        + "\r\n"
+        + ClientRequest.TIME_LEFT
+        + ": 1000\r\nX-Weight-Hint: 1000\r\n\r\n";
   }
 }
--- a/src/test/java/pumicekeel/AdmissionTest.java
+++ b/src/test/java/pumicekeel/AdmissionTest.java
@@ -3,16 +3,16 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import pumicekeel.Balancer.DedupScope;
-import pumicekeel.Balancer.Effect;
-import pumicekeel.Balancer.Status;
-import pumicekeel.Balancer.Tenant;
-import pumicekeel.Window.Metric;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import pumicekeel.Balancer.DedupScope;
+import pumicekeel.Balancer.Effect;
+import pumicekeel.Balancer.Status;
+import pumicekeel.Balancer.Tenant;
+import pumicekeel.Window.Metric;
 
 /** The straight line, its window and what it is fed with. */
 class AdmissionTest {
@@ -66,7 +66,8 @@
     return refusedShare(d, null, requests, out, latency, status);
   }
 
-  private static double refusedShare(Driver d, String tenant, int requests, int out, long latency, Status status) {
+  private static double refusedShare(
+      Driver d, String tenant, int requests, int out, long latency, Status status) {
     d.refusals.clear();
     for (int i = 0; i < requests; i++) {
       d.request(d.nextId(), "c", tenant, "k" + i % 50, 0);
@@ -77,7 +78,10 @@
 
   @Test
   void healthyFleetRefusesNothing() {
-    assertEquals(0, refusedShare(new Driver(Driver.safe()).upstreams(5), 500, 5, 40 * Driver.MS, Status.SERVED));
+    assertEquals(
+        0,
+        refusedShare(
+            new Driver(Driver.safe()).upstreams(5), 500, 5, 40 * Driver.MS, Status.SERVED));
   }
 
   @Test
@@ -109,7 +113,10 @@
       d.request(d.nextId(), "c", null, "k" + i % 50, 0);
       d.serveFor(20 * Driver.MS, i % 10 == 9 ? failure : Status.SERVED, 100 * Driver.MS);
     }
-    assertEquals(0, d.refusals.getOrDefault("r", 0), "a tenth of the attempts fails, at a quarter of the aim");
+    assertEquals(
+        0,
+        d.refusals.getOrDefault("r", 0),
+        "a tenth of the attempts fails, at a quarter of the aim");
   }
 
   @Test
@@ -144,16 +151,26 @@
     assertTrue(refusedShare(d, 600, 30, 700 * Driver.MS, Status.SERVED) > 0.2);
   }
 
-  /** Guards work inside a quota: with few out, a slow dependency is not an overload of its making. */
+  /**
+   * Guards work inside a quota: with few out, a slow dependency is not an overload of its making.
+   */
   @Test
   void noRefusalInsideAQuotaWhileNoMoreIsOutThanUsual() {
-    Driver d = new Driver(Driver.settings(false, List.of(new Tenant("t", 1, 1000)),
-        Driver.type("c", Effect.SAFE, DedupScope.ALL))).upstreams(5);
+    Driver d =
+        new Driver(
+                Driver.settings(
+                    false,
+                    List.of(new Tenant("t", 1, 1000)),
+                    Driver.type("c", Effect.SAFE, DedupScope.ALL)))
+            .upstreams(5);
     refusedShare(d, "t", 2000, 10, 40 * Driver.MS, Status.SERVED);
     assertEquals(0, refusedShare(d, "t", 300, 4, 390 * Driver.MS, Status.SERVED), 0.02);
   }
 
-  /** Guards against a collapsed fleet that nobody relieves: without quotas the line refuses, however few are out. */
+  /**
+   * Guards against a collapsed fleet that nobody relieves: without quotas the line refuses, however
+   * few are out.
+   */
   @Test
   void withoutQuotasTheLineRefusesThoughFewAreOut() {
     Driver d = new Driver(Driver.safe()).upstreams(5);
@@ -163,8 +180,13 @@
 
   @Test
   void excessOverAQuotaIsRefusedFirst() {
-    Driver d = new Driver(Driver.settings(false, List.of(new Tenant("big", 0.5, 10), new Tenant("small", 0.5, 1000)),
-        Driver.type("c", Effect.SAFE, DedupScope.ALL))).upstreams(5);
+    Driver d =
+        new Driver(
+                Driver.settings(
+                    false,
+                    List.of(new Tenant("big", 0.5, 10), new Tenant("small", 0.5, 1000)),
+                    Driver.type("c", Effect.SAFE, DedupScope.ALL)))
+            .upstreams(5);
     for (int i = 0; i < 2000; i++) {
       for (String tenant : List.of("big", "small")) {
         d.request(tenant + d.nextId(), "c", tenant, "k" + i % 50, 0);
@@ -183,7 +205,10 @@
     assertTrue(refused > 0.3, "refused " + refused);
   }
 
-  /** Guards against time-outs that no refusal mends: each counts as long as its client waited, not its class's. */
+  /**
+   * Guards against time-outs that no refusal mends: each counts as long as its client waited, not
+   * its class's.
+   */
   @Test
   void timeOutCountsAsLongAsItsClientWaited() {
     Driver d = new Driver(Driver.safe()).upstreams(5);
@@ -198,7 +223,10 @@
         }
       }
     }
-    assertEquals(0, d.refusals.getOrDefault("r", 0), "of those that take a tenth of the aim; a tenth of all is lost");
+    assertEquals(
+        0,
+        d.refusals.getOrDefault("r", 0),
+        "of those that take a tenth of the aim; a tenth of all is lost");
   }
 
   /** Guards sparse views: with a request or two a window the first of each was always admitted. */
@@ -214,11 +242,19 @@
     assertTrue(late < 15, "admitted of the last 40 at well over maxValue: " + late);
   }
 
-  /** Guards a share cut over many balancers: two close requests of a small share are chance, not excess. */
+  /**
+   * Guards a share cut over many balancers: two close requests of a small share are chance, not
+   * excess.
+   */
   @Test
   void aSmallShareMaySendAFewAtOnce() {
-    Driver d = new Driver(Driver.settings(false, List.of(new Balancer.Tenant("t", 1, 1)),
-        Driver.type("c", Balancer.Effect.SAFE, Balancer.DedupScope.ALL))).upstreams(8);
+    Driver d =
+        new Driver(
+                Driver.settings(
+                    false,
+                    List.of(new Balancer.Tenant("t", 1, 1)),
+                    Driver.type("c", Balancer.Effect.SAFE, Balancer.DedupScope.ALL)))
+            .upstreams(8);
     for (int i = 0; i < 20; i++) {
       d.request(d.nextId(), "c", "t", "k" + i, 0);
       d.serveFor(4000 * Driver.MS, Status.SERVED, 190 * Driver.MS);
@@ -230,7 +266,10 @@
     assertEquals(3, sent);
   }
 
-  /** Guards a balancer of little traffic: its line reaches back for samples, and would be shut for all that time. */
+  /**
+   * Guards a balancer of little traffic: its line reaches back for samples, and would be shut for
+   * all that time.
+   */
   @Test
   void theLineIsNeverShutThoughItReachesFarBack() {
     Driver d = new Driver(Driver.safe()).upstreams(60);
--- a/src/test/java/pumicekeel/ColdFleet.java
+++ b/src/test/java/pumicekeel/ColdFleet.java
@@ -1,5 +1,13 @@
 package pumicekeel;
 
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.function.DoubleUnaryOperator;
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.Contract;
 import pumicekeel.Balancer.Event;
@@ -17,18 +25,10 @@
 import pumicekeel.Balancer.Status;
 import pumicekeel.Balancer.TimerFired;
 import pumicekeel.Balancer.WeightKind;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.PriorityQueue;
-import java.util.SplittableRandom;
-import java.util.TreeMap;
-import java.util.function.DoubleUnaryOperator;
 
 /**
- * Many instances that share nothing but the clock, upstreams of two cores that fall to nothing, and a book on the
- * sends to the cold ones.
+ * Many instances that share nothing but the clock, upstreams of two cores that fall to nothing, and
+ * a book on the sends to the cold ones.
  */
 final class ColdFleet {
 
@@ -37,11 +37,15 @@
   static final int UPSTREAMS = 12;
   private static final int CORES = 2;
   private static final long WORK = 50 * MS;
+
   /** Mean requests a second that a warm upstream can do, and usually gets. */
   static final double CAPACITY = CORES * (double) SECOND / WORK;
+
   static final double USUAL = 0.6 * CAPACITY;
+
   /** A twentieth of the requests is this heavy; the rest makes the mean 1. */
   private static final double HEAVY = 4;
+
   private static final double HEAVY_SHARE = 0.05;
 
   private record Step(long at, long number, Runnable run) {}
@@ -62,8 +66,10 @@
 
   /** By id: unique over the whole fleet, and over a balancer's restarts. */
   private final Map<String, Pending> pending = new HashMap<>();
-  private final PriorityQueue<Step> steps = new PriorityQueue<>((a, b) ->
-      a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
+
+  private final PriorityQueue<Step> steps =
+      new PriorityQueue<>(
+          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
   private final Balancer[] balancers;
   private final int[] lives;
   private final long[][] free = new long[UPSTREAMS][CORES];
@@ -77,6 +83,7 @@
   private long now = start;
   private long numbers;
   private long ids;
+
   /** The traffic at so many seconds, in parts of the usual. */
   DoubleUnaryOperator traffic = t -> 1;
 
@@ -121,26 +128,46 @@
   void begin(int me) {
     Settings base = Driver.safe();
     lives[me]++;
-    balancers[me] = new AdaptiveBalancer(new Settings(me, balancers.length, "abcd".charAt(me % 4) + "",
-        base.classes(), base.tenants(),
-        new Limits(true, false, false, true, true, 1000 * MS, 4, 10_000, 1, 200 * MS, 5000 * MS), contract,
-        new Prices(priced ? 0.05 : 0, 0, 0), false, WeightKind.NONE, 0.2, true, MS), random.nextLong());
+    balancers[me] =
+        new AdaptiveBalancer(
+            new Settings(
+                me,
+                balancers.length,
+                "abcd".charAt(me % 4) + "",
+                base.classes(),
+                base.tenants(),
+                new Limits(
+                    true, false, false, true, true, 1000 * MS, 4, 10_000, 1, 200 * MS, 5000 * MS),
+                contract,
+                new Prices(priced ? 0.05 : 0, 0, 0),
+                false,
+                WeightKind.NONE,
+                0.2,
+                true,
+                MS),
+            random.nextLong());
     step(me, new ListNews(ListKind.CACHED, List.of(listed)));
     step(me, new ListNews(ListKind.FULL, List.of(listed)));
   }
 
   /** An upstream restarts; each balancer is told within a tenth of a second. */
   void restart(long upstream) {
-    Listed up = new Listed(upstream, listed[(int) upstream].zone(), (int) upstream, State.READY, now, 1);
+    Listed up =
+        new Listed(upstream, listed[(int) upstream].zone(), (int) upstream, State.READY, now, 1);
     listed[(int) upstream] = up;
     toCold.put(upstream, new ArrayList<>());
     for (int i = 0; i < balancers.length; i++) {
       int me = i;
-      at(now + random.nextLong(100 * MS), () -> step(me, new ListNews(ListKind.DELTA, List.of(up))));
+      at(
+          now + random.nextLong(100 * MS),
+          () -> step(me, new ListNews(ListKind.DELTA, List.of(up))));
     }
   }
 
-  /** From now on the upstream ends every attempt like this; a time-out is silence until the deadline. */
+  /**
+   * From now on the upstream ends every attempt like this; a time-out is silence until the
+   * deadline.
+   */
   void breakDown(long upstream, Status status) {
     broken.put(upstream, status);
   }
@@ -172,7 +199,16 @@
     double work = random.nextDouble() < HEAVY_SHARE ? HEAVY : light;
     String id = me + "." + lives[me] + "." + ids++;
     pending.put(id, new Pending(work, now + 2 * SECOND));
-    step(me, new Request(id, "c", null, "k" + random.nextInt(300), now + 2 * SECOND, (long) (work * WORK), false));
+    step(
+        me,
+        new Request(
+            id,
+            "c",
+            null,
+            "k" + random.nextInt(300),
+            now + 2 * SECOND,
+            (long) (work * WORK),
+            false));
   }
 
   private double warmth(long upstream, long when) {
@@ -221,11 +257,16 @@
       toCold.get(s.upstream()).add(new Sent(now, p.work));
     }
     Status as = status;
-    at(end, () -> {
-      Status how = p.served ? Status.CANCELLED : as;
-      p.served |= how == Status.SERVED;
-      ifAlive(me, life, new Outcome(s.id(), attempt, s.upstream(), how, now - sent, p.served, Map.of()));
-    });
+    at(
+        end,
+        () -> {
+          Status how = p.served ? Status.CANCELLED : as;
+          p.served |= how == Status.SERVED;
+          ifAlive(
+              me,
+              life,
+              new Outcome(s.id(), attempt, s.upstream(), how, now - sent, p.served, Map.of()));
+        });
   }
 
   /** Work that an upstream of this warmth stands in one window: with more it falls. */
@@ -241,7 +282,10 @@
       List<Sent> sends = of.getValue();
       double sum = 0;
       for (int first = 0, next = 0; first < sends.size(); first++) {
-        for (; next < sends.size() && sends.get(next).at < sends.get(first).at + contract.fallWindowNanos(); next++) {
+        for (;
+            next < sends.size()
+                && sends.get(next).at < sends.get(first).at + contract.fallWindowNanos();
+            next++) {
           sum += sends.get(next).work;
         }
         worst = Math.max(worst, sum / stands(warmth(of.getKey(), sends.get(first).at)));
@@ -251,7 +295,10 @@
     return worst;
   }
 
-  /** Work sent to the restarted upstreams during their slow start, in parts of their warmth's part of the usual. */
+  /**
+   * Work sent to the restarted upstreams during their slow start, in parts of their warmth's part
+   * of the usual.
+   */
   double used() {
     double sent = 0;
     double due = 0;
--- a/src/test/java/pumicekeel/ColdFleetTest.java
+++ b/src/test/java/pumicekeel/ColdFleetTest.java
@@ -2,19 +2,22 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import pumicekeel.Balancer.Contract;
-import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.Listed;
-import pumicekeel.Balancer.State;
-import pumicekeel.Balancer.Status;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
+import pumicekeel.Balancer.Contract;
+import pumicekeel.Balancer.ListKind;
+import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.State;
+import pumicekeel.Balancer.Status;
 
-/** A restarted upstream falls by what all balancers send it together, and none of them knows of another. */
+/**
+ * A restarted upstream falls by what all balancers send it together, and none of them knows of
+ * another.
+ */
 class ColdFleetTest {
 
   private static final long MS = ColdFleet.MS;
@@ -29,11 +32,20 @@
     void prepare(ColdFleet fleet, int group);
   }
 
-  private record Case(String name, Contract contract, int group, int cold, boolean priced, Trouble trouble) {
+  private record Case(
+      String name, Contract contract, int group, int cold, boolean priced, Trouble trouble) {
     @Override
     public String toString() {
-      return name + ", " + group + " balancers, " + cold + " cold, " + (priced ? "zones priced, " : "")
-          + "falls in " + contract.fallWindowNanos() / MS + " ms";
+      return name
+          + ", "
+          + group
+          + " balancers, "
+          + cold
+          + " cold, "
+          + (priced ? "zones priced, " : "")
+          + "falls in "
+          + contract.fallWindowNanos() / MS
+          + " ms";
     }
 
     ColdFleet play(long seed) {
@@ -49,15 +61,20 @@
   }
 
   private static Trouble burstAfter(double seconds) {
-    return (fleet, group) -> fleet.traffic =
-        t -> t >= RESTART + seconds && t < RESTART + seconds + 3 ? 2.5 : 1;
+    return (fleet, group) ->
+        fleet.traffic = t -> t >= RESTART + seconds && t < RESTART + seconds + 3 ? 2.5 : 1;
   }
 
-  /** No traffic from the restart on, then in a fifth of a second what the warm upstreams stand, but for chance. */
+  /**
+   * No traffic from the restart on, then in a fifth of a second what the warm upstreams stand, but
+   * for chance.
+   */
   private static Trouble lull(double seconds) {
     return (fleet, group) -> {
       fleet.traffic = t -> t >= RESTART && t < RESTART + seconds ? 0 : 1;
-      fleet.at(RESTART + seconds, () -> fleet.burst((int) (0.6 * fleet.stands(1)) * ColdFleet.UPSTREAMS, 200 * MS));
+      fleet.at(
+          RESTART + seconds,
+          () -> fleet.burst((int) (0.6 * fleet.stands(1)) * ColdFleet.UPSTREAMS, 200 * MS));
     };
   }
 
@@ -89,17 +106,22 @@
       cases.add(new Case("plain", SHORT, group, 12, false, NONE));
       cases.add(new Case("plain", SHORT, group, 1, true, NONE));
       for (int seconds : new int[] {0, 1, 2, 4, 8, 12}) {
-        cases.add(new Case("burst after " + seconds, SHORT, group, 1, seconds % 4 == 0, burstAfter(seconds)));
+        cases.add(
+            new Case(
+                "burst after " + seconds, SHORT, group, 1, seconds % 4 == 0, burstAfter(seconds)));
       }
       cases.add(new Case("balancers restarted", SHORT, group, 1, false, balancersRestart(-0.2, 1)));
-      cases.add(new Case("half the balancers restarted", SHORT, group, 4, false, balancersRestart(1, 2)));
+      cases.add(
+          new Case("half the balancers restarted", SHORT, group, 4, false, balancersRestart(1, 2)));
       cases.add(new Case("two turn all away", SHORT, group, 1, false, broken(Status.FULL, 2)));
       cases.add(new Case("two fail", SHORT, group, 1, true, broken(Status.RESET, 2)));
       cases.add(new Case("panic", SHORT, group, 1, false, broken(Status.CONNECT_FAILED, 7)));
       cases.add(new Case("silent", SHORT, group, 1, true, broken(Status.TIMEOUT, 7)));
       for (Contract contract : List.of(SHORT, LONG, WARMER)) {
         cases.add(new Case("lull of 2", contract, group, 1, false, lull(2)));
-        cases.add(new Case("lull of half", contract, group, 1, false, lull(contract.warmWithinNanos() / 2e9)));
+        cases.add(
+            new Case(
+                "lull of half", contract, group, 1, false, lull(contract.warmWithinNanos() / 2e9)));
         cases.add(new Case("lull of 2", contract, group, 4, true, lull(2)));
       }
     }
@@ -124,8 +146,11 @@
   }
 
   static Stream<Case> plain() {
-    return Stream.of(LONG, SHORT, WARMER).flatMap(c -> Stream.of(3, 30, 100, 500)
-        .map(group -> new Case("plain", c, group, 4, false, NONE)));
+    return Stream.of(LONG, SHORT, WARMER)
+        .flatMap(
+            c ->
+                Stream.of(3, 30, 100, 500)
+                    .map(group -> new Case("plain", c, group, 4, false, NONE)));
   }
 
   /** Guards against the opposite: a restarted upstream left idle by balancers that save nothing. */
@@ -144,7 +169,9 @@
   void aHeavyRequestTakesItsLoadOfTheColdBudget() {
     int light = sendsToCold(20 * MS);
     int heavy = sendsToCold(80 * MS);
-    assertTrue(light >= 4 && heavy <= light / 2, "sends to the cold one: light " + light + ", heavy " + heavy);
+    assertTrue(
+        light >= 4 && heavy <= light / 2,
+        "sends to the cold one: light " + light + ", heavy " + heavy);
   }
 
   private static int sendsToCold(long hint) {
--- a/src/test/java/pumicekeel/Driver.java
+++ b/src/test/java/pumicekeel/Driver.java
@@ -1,5 +1,9 @@
 package pumicekeel;
 
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.Contract;
 import pumicekeel.Balancer.DedupScope;
@@ -21,10 +25,6 @@
 import pumicekeel.Balancer.Tenant;
 import pumicekeel.Balancer.TimerFired;
 import pumicekeel.Balancer.WeightKind;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
 
 /** Drives one instance by hand: a clock, its timers, and the actions of the last step. */
 final class Driver {
@@ -55,10 +55,20 @@
   }
 
   static Settings settings(boolean onRequest, List<Tenant> tenants, RequestClass... classes) {
-    return new Settings(0, 1, "a", List.of(classes), tenants,
+    return new Settings(
+        0,
+        1,
+        "a",
+        List.of(classes),
+        tenants,
         new Limits(true, false, false, true, true, 1000 * MS, 4, 10_000, 1, 200 * MS, 5000 * MS),
         new Contract(8 * MS, onRequest ? 10_000 * MS : 0, 250 * MS, 0.3, 8000 * MS, 3, 3000 * MS),
-        new Prices(0, 0, 0), onRequest, WeightKind.NONE, 0.2, true, MS);
+        new Prices(0, 0, 0),
+        onRequest,
+        WeightKind.NONE,
+        0.2,
+        true,
+        MS);
   }
 
   static Settings safe() {
@@ -78,7 +88,8 @@
       } else if (action instanceof Balancer.Refuse r) {
         refusals.merge(r.id().substring(0, 1), 1, Integer::sum);
       } else if (action instanceof Send s) {
-        outstanding.add(new Sent(s.id(), attempts.merge(s.id(), 1, Integer::sum) - 1, s.upstream(), now));
+        outstanding.add(
+            new Sent(s.id(), attempts.merge(s.id(), 1, Integer::sum) - 1, s.upstream(), now));
       }
     }
     return actions;
@@ -111,17 +122,31 @@
 
   /** Ends the attempt of a request at an upstream. */
   List<Action> end(String id, long upstream, Status status, long latencyNanos) {
-    Sent sent = outstanding.stream().filter(s -> s.id().equals(id) && s.upstream() == upstream).findFirst().get();
+    Sent sent =
+        outstanding.stream()
+            .filter(s -> s.id().equals(id) && s.upstream() == upstream)
+            .findFirst()
+            .get();
     return end(sent, status, latencyNanos);
   }
 
   List<Action> end(Sent sent, Status status, long latencyNanos) {
     outstanding.remove(sent);
-    return step(new Outcome(sent.id(), sent.attempt(), sent.upstream(), status, latencyNanos,
-        status == Status.SERVED, Map.of()));
-  }
-
-  /** The last attempt of a request found a kept connection broken; what it is sent to next serves it. */
+    return step(
+        new Outcome(
+            sent.id(),
+            sent.attempt(),
+            sent.upstream(),
+            status,
+            latencyNanos,
+            status == Status.SERVED,
+            Map.of()));
+  }
+
+  /**
+   * The last attempt of a request found a kept connection broken; what it is sent to next serves
+   * it.
+   */
   void endStale(String id) {
     Sent sent = outstanding.stream().filter(s -> s.id().equals(id)).findFirst().get();
     outstanding.remove(sent);
@@ -136,7 +161,9 @@
     serveFor(nanos, status, latencyNanos, Long.MAX_VALUE);
   }
 
-  /** The same with so much of the time at most spent at the upstream, and the rest in the balancer. */
+  /**
+   * The same with so much of the time at most spent at the upstream, and the rest in the balancer.
+   */
   void serveFor(long nanos, Status status, long outNanos, long latencyNanos) {
     for (long end = now + nanos; now < end; ) {
       pass(Math.min(5 * MS, end - now));
@@ -148,7 +175,10 @@
     }
   }
 
-  /** Sends one request and has it served after a latency; the upstream it went to, or -1 where it was not sent. */
+  /**
+   * Sends one request and has it served after a latency; the upstream it went to, or -1 where it
+   * was not sent.
+   */
   long serve(String key, long latencyNanos) {
     String id = nextId();
     long upstream = sentTo(request(id, "c", key));
@@ -177,7 +207,11 @@
   }
 
   static long sentTo(List<Action> actions) {
-    return actions.stream().filter(a -> a instanceof Send).mapToLong(a -> ((Send) a).upstream()).findFirst().orElse(-1);
+    return actions.stream()
+        .filter(a -> a instanceof Send)
+        .mapToLong(a -> ((Send) a).upstream())
+        .findFirst()
+        .orElse(-1);
   }
 
   static boolean has(List<Action> actions, Class<? extends Action> kind) {
--- a/src/test/java/pumicekeel/EmbeddingExample.java
+++ b/src/test/java/pumicekeel/EmbeddingExample.java
@@ -26,11 +26,27 @@
 
   /** One balancer, two upstreams, one request; the actions that the proxy is asked to carry out. */
   static List<Action> firstRequest() {
-    RequestClass page = new RequestClass("page", Effect.SAFE, DedupScope.ALL, 0, 200 * MS, 0, 1000 * MS, 1, 0, false);
-    Limits limits = new Limits(true, false, false, true, true, 1000 * MS, 3, 10_000, 1, 250 * MS, 15_000 * MS);
+    RequestClass page =
+        new RequestClass(
+            "page", Effect.SAFE, DedupScope.ALL, 0, 200 * MS, 0, 1000 * MS, 1, 0, false);
+    Limits limits =
+        new Limits(true, false, false, true, true, 1000 * MS, 3, 10_000, 1, 250 * MS, 15_000 * MS);
     Contract contract = new Contract(20 * MS, 0, 1000 * MS, 0.2, 10_000 * MS, 3, 2000 * MS);
-    Settings settings = new Settings(0, 1, "zone-a", List.of(page), List.of(), limits, contract,
-        new Prices(0, 0, 0), false, WeightKind.NONE, 1, false, MS);
+    Settings settings =
+        new Settings(
+            0,
+            1,
+            "zone-a",
+            List.of(page),
+            List.of(),
+            limits,
+            contract,
+            new Prices(0, 0, 0),
+            false,
+            WeightKind.NONE,
+            1,
+            false,
+            MS);
 
     Balancer balancer = new AdaptiveBalancer(settings, 42);
     List<Action> actions = new ArrayList<>();
@@ -38,7 +54,8 @@
     Listed one = new Listed(1, "zone-a", 0, State.READY, 0, 1);
     Listed two = new Listed(2, "zone-a", 0, State.READY, 0, 1);
     balancer.handle(clock, new ListNews(ListKind.CACHED, List.of(one, two)), actions::add);
-    balancer.handle(clock, new Request("r1", "page", null, "user-7", clock + 800 * MS, 0, false), actions::add);
+    balancer.handle(
+        clock, new Request("r1", "page", null, "user-7", clock + 800 * MS, 0, false), actions::add);
     return actions;
   }
 }
--- a/src/test/java/pumicekeel/FourRulesTest.java
+++ b/src/test/java/pumicekeel/FourRulesTest.java
@@ -4,6 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.DedupScope;
 import pumicekeel.Balancer.Effect;
@@ -16,13 +21,11 @@
 import pumicekeel.Balancer.State;
 import pumicekeel.Balancer.Status;
 import pumicekeel.Balancer.Watch;
-import java.util.ArrayList;
-import java.util.List;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
 
-/** What may follow an attempt: each effect, outcome and dedup scope, with the expectation written out. */
+/**
+ * What may follow an attempt: each effect, outcome and dedup scope, with the expectation written
+ * out.
+ */
 class FourRulesTest {
 
   private static final long FIRST = 1;
@@ -42,31 +45,54 @@
 
   @ParameterizedTest
   @CsvSource({
-    // effect, scope, outcome, upstreams that may get the next attempt, final answer where there is none
-    "SAFE, ALL, FULL, 2 3 4, Refuse", "SAFE, CELL, CONNECT_FAILED, 2 3 4, Refuse", "SAFE, ALL, ERROR, 2 3 4, Refuse",
-    "SAFE, CELL, RESET, 2 3 4, Refuse", "SAFE, CELL, TIMEOUT, 2 3 4, Refuse", "SAFE, CELL, CANCELLED, 2 3 4, Refuse",
+    // effect, scope, outcome, upstreams that may get the next attempt, final answer where there is
+    // none
+    "SAFE, ALL, FULL, 2 3 4, Refuse",
+    "SAFE, CELL, CONNECT_FAILED, 2 3 4, Refuse",
+    "SAFE, ALL, ERROR, 2 3 4, Refuse",
+    "SAFE, CELL, RESET, 2 3 4, Refuse",
+    "SAFE, CELL, TIMEOUT, 2 3 4, Refuse",
+    "SAFE, CELL, CANCELLED, 2 3 4, Refuse",
     "SAFE, CELL, NOT_SENT, 2 3 4, Refuse",
-    "UNSAFE, ALL, FULL, 2 3 4, Refuse", "UNSAFE, ALL, CONNECT_FAILED, 2 3 4, Refuse",
-    "UNSAFE, ALL, NOT_SENT, 2 3 4, Refuse", "UNSAFE, ALL, ERROR, '', Fail", "UNSAFE, ALL, RESET, '', Fail",
-    "UNSAFE, ALL, TIMEOUT, '', Fail", "UNSAFE, ALL, CANCELLED, '', Fail",
-    "KEYED, ALL, FULL, 2 3 4, Refuse", "KEYED, ALL, ERROR, 2 3 4, Refuse", "KEYED, ALL, RESET, 2 3 4, Refuse",
-    "KEYED, ALL, TIMEOUT, 2 3 4, Refuse", "KEYED, ALL, CANCELLED, 2 3 4, Refuse",
-    "KEYED, ZONE, FULL, 2 3 4, Refuse", "KEYED, ZONE, CONNECT_FAILED, 2 3 4, Refuse",
-    "KEYED, ZONE, ERROR, 2 3, Fail", "KEYED, ZONE, RESET, 2 3, Fail", "KEYED, ZONE, TIMEOUT, 2 3, Fail",
+    "UNSAFE, ALL, FULL, 2 3 4, Refuse",
+    "UNSAFE, ALL, CONNECT_FAILED, 2 3 4, Refuse",
+    "UNSAFE, ALL, NOT_SENT, 2 3 4, Refuse",
+    "UNSAFE, ALL, ERROR, '', Fail",
+    "UNSAFE, ALL, RESET, '', Fail",
+    "UNSAFE, ALL, TIMEOUT, '', Fail",
+    "UNSAFE, ALL, CANCELLED, '', Fail",
+    "KEYED, ALL, FULL, 2 3 4, Refuse",
+    "KEYED, ALL, ERROR, 2 3 4, Refuse",
+    "KEYED, ALL, RESET, 2 3 4, Refuse",
+    "KEYED, ALL, TIMEOUT, 2 3 4, Refuse",
+    "KEYED, ALL, CANCELLED, 2 3 4, Refuse",
+    "KEYED, ZONE, FULL, 2 3 4, Refuse",
+    "KEYED, ZONE, CONNECT_FAILED, 2 3 4, Refuse",
+    "KEYED, ZONE, ERROR, 2 3, Fail",
+    "KEYED, ZONE, RESET, 2 3, Fail",
+    "KEYED, ZONE, TIMEOUT, 2 3, Fail",
     "KEYED, ZONE, CANCELLED, 2 3, Fail",
-    "KEYED, CELL, FULL, 2 3 4, Refuse", "KEYED, CELL, NOT_SENT, 2 3 4, Refuse", "KEYED, CELL, ERROR, 2, Fail",
-    "KEYED, CELL, RESET, 2, Fail", "KEYED, CELL, TIMEOUT, 2, Fail", "KEYED, CELL, CANCELLED, 2, Fail"})
-  void nextAttemptOrFinalAnswer(Effect effect, DedupScope scope, Status status, String allowed, String end) {
+    "KEYED, CELL, FULL, 2 3 4, Refuse",
+    "KEYED, CELL, NOT_SENT, 2 3 4, Refuse",
+    "KEYED, CELL, ERROR, 2, Fail",
+    "KEYED, CELL, RESET, 2, Fail",
+    "KEYED, CELL, TIMEOUT, 2, Fail",
+    "KEYED, CELL, CANCELLED, 2, Fail"
+  })
+  void nextAttemptOrFinalAnswer(
+      Effect effect, DedupScope scope, Status status, String allowed, String end) {
     for (long other = 2; other <= 4; other++) {
       Driver d = fleet(effect, scope, other);
       List<Action> next = d.end("r", FIRST, status, Driver.MS);
-      assertEquals(allowed.contains("" + other) ? other : -1, Driver.sentTo(next), "sent on to " + other);
+      assertEquals(
+          allowed.contains("" + other) ? other : -1, Driver.sentTo(next), "sent on to " + other);
     }
     Driver alone = fleet(effect, scope);
     alone.list(ListKind.FULL);
     List<Action> last = new ArrayList<>(alone.end("r", FIRST, status, Driver.MS));
     last.addAll(alone.pass(2000 * Driver.MS));
-    List<Action> finals = last.stream().filter(a -> a instanceof Refuse || a instanceof Fail).toList();
+    List<Action> finals =
+        last.stream().filter(a -> a instanceof Refuse || a instanceof Fail).toList();
     assertEquals(1, finals.size());
     assertEquals(end, finals.get(0).getClass().getSimpleName());
   }
@@ -110,7 +136,10 @@
     assertFalse(Driver.has(d.pass(3000 * Driver.MS), Send.class));
   }
 
-  /** Guards against a retry storm: with every attempt failing, retries stay a fraction of the requests. */
+  /**
+   * Guards against a retry storm: with every attempt failing, retries stay a fraction of the
+   * requests.
+   */
   @Test
   void retriesAreBudgeted() {
     Driver d = new Driver(Driver.safe()).upstreams(12);
@@ -129,14 +158,18 @@
 
   @Test
   void theListIsAskedForAndAskedAgainAfterAFailure() {
-    Driver d = new Driver(Driver.settings(true, List.of(), Driver.type("c", Effect.SAFE, DedupScope.ALL)));
+    Driver d =
+        new Driver(Driver.settings(true, List.of(), Driver.type("c", Effect.SAFE, DedupScope.ALL)));
     assertTrue(Driver.has(d.list(ListKind.CACHED, Driver.up(1)), Watch.class));
     for (int i = 0; i < 20; i++) {
       d.list(ListKind.FAILED);
-      assertTrue(Driver.has(d.pass(1000 * Driver.MS), Watch.class), "asked again before news counts as told");
+      assertTrue(
+          Driver.has(d.pass(1000 * Driver.MS), Watch.class),
+          "asked again before news counts as told");
     }
     assertFalse(Driver.has(d.list(ListKind.FULL, Driver.up(1), Driver.up(2)), Watch.class));
-    assertFalse(Driver.has(d.pass(9000 * Driver.MS), Watch.class), "a subscription is not asked for twice");
+    assertFalse(
+        Driver.has(d.pass(9000 * Driver.MS), Watch.class), "a subscription is not asked for twice");
   }
 
   @Test
@@ -156,7 +189,9 @@
     d.request("r", "c", "k");
     d.step(new Balancer.AnswerStarted("r", 0, 100, Driver.MS));
     List<Action> later = d.pass(5000 * Driver.MS);
-    assertTrue(later.stream().noneMatch(a -> a instanceof Fail || a instanceof Refuse || a instanceof Send));
+    assertTrue(
+        later.stream()
+            .noneMatch(a -> a instanceof Fail || a instanceof Refuse || a instanceof Send));
   }
 
   @Test
@@ -175,10 +210,13 @@
     assertEquals(-1, Driver.sentTo(later), "for its attempt");
   }
 
-  /** Guards the list: a timer that fires a fraction of a microsecond early must not end the asking. */
+  /**
+   * Guards the list: a timer that fires a fraction of a microsecond early must not end the asking.
+   */
   @Test
   void aTimerThatFiresALittleEarlyStillAsksForTheList() {
-    Driver d = new Driver(Driver.settings(true, List.of(), Driver.type("c", Effect.SAFE, DedupScope.ALL)));
+    Driver d =
+        new Driver(Driver.settings(true, List.of(), Driver.type("c", Effect.SAFE, DedupScope.ALL)));
     d.list(ListKind.CACHED, Driver.up(1));
     d.list(ListKind.FAILED);
     d.now = d.timers.stream().mapToLong(t -> t).max().getAsLong() - 405;
@@ -188,18 +226,27 @@
     assertTrue(Driver.has(actions, Watch.class));
   }
 
-  /** Guards the drain rule: what comes while no watch is on counts as told, however often watches failed before. */
+  /**
+   * Guards the drain rule: what comes while no watch is on counts as told, however often watches
+   * failed before.
+   */
   @Test
   void aListThatIsPushedIsAskedForAgainWellInsideTheDrainGrace() {
-    Settings settings = Driver.settings(false, List.of(), Driver.type("c", Effect.SAFE, DedupScope.ALL));
+    Settings settings =
+        Driver.settings(false, List.of(), Driver.type("c", Effect.SAFE, DedupScope.ALL));
     Driver d = new Driver(settings).upstreams(1);
     for (int failures = 1; failures <= 20; failures++) {
       d.list(ListKind.FAILED);
-      assertTrue(Driver.has(d.pass(settings.contract().drainGraceNanos() / 4), Watch.class), "failure " + failures);
+      assertTrue(
+          Driver.has(d.pass(settings.contract().drainGraceNanos() / 4), Watch.class),
+          "failure " + failures);
     }
   }
 
-  /** Guards against fixed savings times hundreds of balancers: a quiet start earns one retry, not twenty. */
+  /**
+   * Guards against fixed savings times hundreds of balancers: a quiet start earns one retry, not
+   * twenty.
+   */
   @Test
   void aBalancerThatHasSeenLittleTrafficRetriesLittle() {
     Driver d = new Driver(Driver.safe()).upstreams(12);
@@ -207,7 +254,8 @@
     for (int i = 0; i < 10; i++) {
       String id = d.nextId();
       long to = Driver.sentTo(d.request(id, "c", "k" + i));
-      for (to = Driver.sentTo(d.end(id, to, Status.FULL, Driver.MS)); to >= 0;
+      for (to = Driver.sentTo(d.end(id, to, Status.FULL, Driver.MS));
+          to >= 0;
           to = Driver.sentTo(d.end(id, to, Status.FULL, Driver.MS))) {
         retries++;
       }
--- a/src/test/java/pumicekeel/PlacementTest.java
+++ b/src/test/java/pumicekeel/PlacementTest.java
@@ -4,18 +4,18 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import pumicekeel.Balancer.Action;
-import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.Listed;
-import pumicekeel.Balancer.Send;
-import pumicekeel.Balancer.State;
-import pumicekeel.Balancer.Status;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import pumicekeel.Balancer.Action;
+import pumicekeel.Balancer.ListKind;
+import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.Send;
+import pumicekeel.Balancer.State;
+import pumicekeel.Balancer.Status;
 
 /** The ring, bounded load, room, silence, cold upstreams and drains. */
 class PlacementTest {
@@ -35,19 +35,24 @@
     Map<Long, Integer> counts = new HashMap<>();
     before.values().forEach(u -> counts.merge(u, 1, Integer::sum));
     assertEquals(10, counts.size());
-    counts.values().forEach(n -> assertTrue(n > 120 && n < 300, "keys of one upstream of ten: " + n));
+    counts
+        .values()
+        .forEach(n -> assertTrue(n > 120 && n < 300, "keys of one upstream of ten: " + n));
     d.list(ListKind.DELTA, new Listed(103, "a", 0, State.GONE, 0, 1));
     Map<String, Long> after = owners(d, 2000);
-    before.forEach((key, owner) -> {
-      if (owner == 103) {
-        assertNotEquals(103L, after.get(key));
-      } else {
-        assertEquals(owner, after.get(key));
-      }
-    });
+    before.forEach(
+        (key, owner) -> {
+          if (owner == 103) {
+            assertNotEquals(103L, after.get(key));
+          } else {
+            assertEquals(owner, after.get(key));
+          }
+        });
   }
 
-  /** Guards against a magnet: what turns every request away at once is always the emptiest of all. */
+  /**
+   * Guards against a magnet: what turns every request away at once is always the emptiest of all.
+   */
   @Test
   void upstreamThatTurnsAllAwayIsLeftAlone() {
     Driver d = new Driver(Driver.safe()).upstreams(5);
@@ -105,12 +110,29 @@
     assertTrue(part > 0.1 && part < 0.3 + 0.7 * 3 / 8 + 0.1, "part of a warm one's sends: " + part);
   }
 
-  /** Guards warm upstreams of a zone: all its traffic is theirs, so a cold one's part of it is no fleet-wide mean. */
+  /**
+   * Guards warm upstreams of a zone: all its traffic is theirs, so a cold one's part of it is no
+   * fleet-wide mean.
+   */
   @Test
   void coldUpstreamGetsItsWarmthsPartOfItsOwnZonesTraffic() {
     Balancer.Settings base = Driver.safe();
-    Driver d = new Driver(new Balancer.Settings(0, 100, "a", base.classes(), base.tenants(), base.limits(),
-        base.contract(), new Balancer.Prices(0.05, 0, 0), false, base.weightKind(), 1, true, Driver.MS));
+    Driver d =
+        new Driver(
+            new Balancer.Settings(
+                0,
+                100,
+                "a",
+                base.classes(),
+                base.tenants(),
+                base.limits(),
+                base.contract(),
+                new Balancer.Prices(0.05, 0, 0),
+                false,
+                base.weightKind(),
+                1,
+                true,
+                Driver.MS));
     Listed[] listed = new Listed[16];
     for (int i = 0; i < 16; i++) {
       listed[i] = new Listed(i, "abcd".charAt(i % 4) + "", i, State.READY, 0, 1);
@@ -124,11 +146,14 @@
     for (int i = 0; i < 150; i++) {
       cold += d.serve("k" + i, 20 * Driver.MS) == 0 ? 1 : 0;
     }
-    // A warm one gets a quarter of the 150; three seconds of eight it is at 0.3 to 0.56 of its capacity.
+    // A warm one gets a quarter of the 150; three seconds of eight it is at 0.3 to 0.56 of its
+    // capacity.
     assertTrue(cold > 0.3 * 150 / 4 && cold < 0.7 * 150 / 4, "sends to the cold one: " + cold);
   }
 
-  /** Guards against sending on to an upstream that has frozen and has not yet timed anything out. */
+  /**
+   * Guards against sending on to an upstream that has frozen and has not yet timed anything out.
+   */
   @Test
   void silentUpstreamIsPassedOverAndItsRequestCopied() {
     Driver d = new Driver(Driver.safe()).upstreams(4);
@@ -148,22 +173,45 @@
     assertTrue(Driver.has(end, Balancer.Cancel.class), "the loser is cancelled");
   }
 
-  /** Guards a client that waits for less than its aim: past its deadline a copy is work for nobody. */
+  /**
+   * Guards a client that waits for less than its aim: past its deadline a copy is work for nobody.
+   */
   @Test
   void silentUpstreamsRequestIsNotCopiedPastItsDeadline() {
     Balancer.Settings base = Driver.safe();
     Balancer.Contract rules = base.contract();
-    Driver d = new Driver(new Balancer.Settings(0, 1, "a", base.classes(), base.tenants(), base.limits(),
-        new Balancer.Contract(400 * Driver.MS, 0, rules.drainGraceNanos(), rules.coldFrom(), rules.warmWithinNanos(),
-            rules.fallMultiple(), rules.fallWindowNanos()),
-        base.prices(), false, base.weightKind(), 1, true, Driver.MS)).upstreams(4);
+    Driver d =
+        new Driver(
+                new Balancer.Settings(
+                    0,
+                    1,
+                    "a",
+                    base.classes(),
+                    base.tenants(),
+                    base.limits(),
+                    new Balancer.Contract(
+                        400 * Driver.MS,
+                        0,
+                        rules.drainGraceNanos(),
+                        rules.coldFrom(),
+                        rules.warmWithinNanos(),
+                        rules.fallMultiple(),
+                        rules.fallWindowNanos()),
+                    base.prices(),
+                    false,
+                    base.weightKind(),
+                    1,
+                    true,
+                    Driver.MS))
+            .upstreams(4);
     for (int i = 0; i < 400; i++) {
       d.serve("k" + i % 40, 10 * Driver.MS);
     }
     String id = d.nextId();
     d.step(new Balancer.Request(id, "c", null, "k1", d.now + 100 * Driver.MS, 0, false));
     assertEquals(1, d.outstanding.size());
-    assertEquals(List.of(), d.pass(290 * Driver.MS).stream().filter(a -> a instanceof Send).toList());
+    assertEquals(
+        List.of(), d.pass(290 * Driver.MS).stream().filter(a -> a instanceof Send).toList());
   }
 
   /** Guards against a dead upstream that fails fast and so always looks free. */
@@ -193,7 +241,10 @@
     assertEquals(bad, d.serve("k0", Driver.MS), "back after it");
   }
 
-  /** Guards against filling an upstream's queue: past its room requests wait here, where value decides. */
+  /**
+   * Guards against filling an upstream's queue: past its room requests wait here, where value
+   * decides.
+   */
   @Test
   void roomHoldsRequestsBackAndRefusesEarly() {
     Driver d = new Driver(Driver.safe()).upstreams(1);
@@ -205,16 +256,21 @@
       sent += Driver.sentTo(d.request(d.nextId(), "c", "k" + i)) >= 0 ? 1 : 0;
     }
     assertTrue(sent >= 2 && sent <= 12, "sent at once: " + sent);
-    long refused = d.pass(170 * Driver.MS).stream().filter(a -> a instanceof Balancer.Refuse).count();
+    long refused =
+        d.pass(170 * Driver.MS).stream().filter(a -> a instanceof Balancer.Refuse).count();
     assertTrue(refused > 30, "refused inside 0.43 of the aim: " + refused);
   }
 
-  /** Guards against heavy tails: a few requests hinted as heavy fill an upstream that a count calls half empty. */
+  /**
+   * Guards against heavy tails: a few requests hinted as heavy fill an upstream that a count calls
+   * half empty.
+   */
   @Test
   void hintedHeavyRequestsTakeMoreOfTheRoom() {
     int light = sentAtOnce(20 * Driver.MS);
     int heavy = sentAtOnce(80 * Driver.MS);
-    assertTrue(light >= 4 && heavy <= light / 2, "sent at once: light " + light + ", heavy " + heavy);
+    assertTrue(
+        light >= 4 && heavy <= light / 2, "sent at once: light " + light + ", heavy " + heavy);
   }
 
   private static int sentAtOnce(long hint) {
@@ -230,7 +286,10 @@
     return sent;
   }
 
-  /** Guards against hundreds of balancers with hardly one request out each: their in-flight counts bound nothing. */
+  /**
+   * Guards against hundreds of balancers with hardly one request out each: their in-flight counts
+   * bound nothing.
+   */
   @Test
   void aSparseViewBoundsAHotKeyByItsHistory() {
     Driver d = new Driver(Driver.safe()).upstreams(12);
@@ -243,7 +302,10 @@
     assertTrue(most <= 2 * 10 + 3, "at one upstream of 12, of 120: " + most);
   }
 
-  /** Guards against a slow upstream that gets as much as a fast one: in-flight time counts, not requests. */
+  /**
+   * Guards against a slow upstream that gets as much as a fast one: in-flight time counts, not
+   * requests.
+   */
   @Test
   void aSlowUpstreamGetsLessInASparseView() {
     Driver d = new Driver(Driver.safe()).upstreams(4);
@@ -264,8 +326,22 @@
   @Test
   void aZoneLeftWithOneUpstreamGetsItsPartOnly() {
     Balancer.Settings base = Driver.safe();
-    Driver d = new Driver(new Balancer.Settings(0, 100, "a", base.classes(), base.tenants(), base.limits(),
-        base.contract(), new Balancer.Prices(0.05, 0, 0), false, base.weightKind(), 1, true, Driver.MS));
+    Driver d =
+        new Driver(
+            new Balancer.Settings(
+                0,
+                100,
+                "a",
+                base.classes(),
+                base.tenants(),
+                base.limits(),
+                base.contract(),
+                new Balancer.Prices(0.05, 0, 0),
+                false,
+                base.weightKind(),
+                1,
+                true,
+                Driver.MS));
     Listed[] listed = new Listed[10];
     for (int i = 0; i < 10; i++) {
       listed[i] = new Listed(i, i == 0 ? "a" : "b", i, State.READY, 0, 1);
@@ -279,7 +355,10 @@
     assertTrue(near >= 20 && near <= 90, "near sends of 200: " + near);
   }
 
-  /** Guards against keys that leave their warm upstreams in a crowd: each move is work, and so more crowd. */
+  /**
+   * Guards against keys that leave their warm upstreams in a crowd: each move is work, and so more
+   * crowd.
+   */
   @Test
   void aColdKeyStaysOnFewUpstreamsInACrowd() {
     Driver d = new Driver(Driver.safe()).upstreams(12);
