--- a/src/test/java/pumicekeel/StormTest.java
+++ b/src/test/java/pumicekeel/StormTest.java
@@ -3,6 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.lang.reflect.Field;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.Cancel;
 import pumicekeel.Balancer.ClientGone;
@@ -28,17 +37,11 @@
 import pumicekeel.Balancer.Tenant;
 import pumicekeel.Balancer.TimerFired;
 import pumicekeel.Balancer.WeightKind;
-import java.lang.reflect.Field;
-import java.util.ArrayList;
-import java.util.Collection;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.SplittableRandom;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random legal events over seeds and settings; the observer knows the four rules and nothing of the module. */
+/**
+ * Random legal events over seeds and settings; the observer knows the four rules and nothing of the
+ * module.
+ */
 class StormTest {
 
   private static final long MS = 1_000_000L;
@@ -72,7 +75,10 @@
   private long now = 5_000_000 * MS;
 
   @ParameterizedTest
-  @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
+  @ValueSource(
+      longs = {
+        1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24
+      })
   void rulesHold(long seed) {
     random = new SplittableRandom(seed);
     settings = settings();
@@ -87,8 +93,10 @@
       fire();
       if (random.nextInt(100) < 4) {
         Listed changed = change(random.nextInt(12));
-        step(random.nextBoolean() ? new ListNews(ListKind.DELTA, List.of(changed))
-            : new ListNews(ListKind.FULL, List.copyOf(fleet.values())));
+        step(
+            random.nextBoolean()
+                ? new ListNews(ListKind.DELTA, List.of(changed))
+                : new ListNews(ListKind.FULL, List.copyOf(fleet.values())));
       } else if (random.nextInt(100) < 1) {
         step(new ListNews(ListKind.FAILED, List.of()));
       }
@@ -96,8 +104,15 @@
         RequestClass type = settings.classes().get(random.nextInt(settings.classes().size()));
         long deadline = now + (20 + random.nextInt(600)) * MS;
         book.put("r" + id, new Entry(type, deadline));
-        step(new Request("r" + id++, type.name(), random.nextBoolean() ? "t" : null,
-            random.nextInt(5) == 0 ? null : "k" + random.nextInt(30), deadline, 0, false));
+        step(
+            new Request(
+                "r" + id++,
+                type.name(),
+                random.nextBoolean() ? "t" : null,
+                random.nextInt(5) == 0 ? null : "k" + random.nextInt(30),
+                deadline,
+                0,
+                false));
       }
       outcomes(40);
     }
@@ -110,12 +125,17 @@
     long idle = timers.size();
     now += 60_000 * MS;
     fire();
-    assertTrue(timers.size() <= 1 && idle <= 2, "state empties when traffic stops: " + timers.size() + " timers");
+    assertTrue(
+        timers.size() <= 1 && idle <= 2,
+        "state empties when traffic stops: " + timers.size() + " timers");
     assertEquals(0, sizeOf("open"), "requests still kept");
     assertEquals(0, sizeOf("held"), "requests still held");
   }
 
-  /** The size of one of the module's private collections: what it keeps is not to be seen from outside. */
+  /**
+   * The size of one of the module's private collections: what it keeps is not to be seen from
+   * outside.
+   */
   private int sizeOf(String field) {
     try {
       Field f = AdaptiveBalancer.class.getDeclaredField(field);
@@ -131,22 +151,60 @@
     List<RequestClass> classes = new ArrayList<>();
     for (Effect effect : Effect.values()) {
       for (DedupScope scope : DedupScope.values()) {
-        classes.add(new RequestClass(effect + " " + scope, effect, scope, (50 + random.nextInt(300)) * MS,
-            (50 + random.nextInt(200)) * MS, 0, 700 * MS, 1 + random.nextInt(3), 0, false));
+        classes.add(
+            new RequestClass(
+                effect + " " + scope,
+                effect,
+                scope,
+                (50 + random.nextInt(300)) * MS,
+                (50 + random.nextInt(200)) * MS,
+                0,
+                700 * MS,
+                1 + random.nextInt(3),
+                0,
+                false));
       }
     }
-    return new Settings(0, 1 + random.nextInt(3), "z0", classes, List.of(new Tenant("t", 1, random.nextInt(200))),
-        new Limits(random.nextBoolean(), false, false, random.nextBoolean(), true, 1000 * MS, 1 + random.nextInt(6),
-            40 + random.nextInt(1000), 1, 100 * MS, 5000 * MS),
-        new Contract(12 * MS, random.nextBoolean() ? 10_000 * MS : 0, 0, 0.2, 5000 * MS, 3, 2000 * MS),
-        new Prices(0, 0, 0), random.nextBoolean(), WeightKind.values()[random.nextInt(4)], 0.1, true, MS);
+    return new Settings(
+        0,
+        1 + random.nextInt(3),
+        "z0",
+        classes,
+        List.of(new Tenant("t", 1, random.nextInt(200))),
+        new Limits(
+            random.nextBoolean(),
+            false,
+            false,
+            random.nextBoolean(),
+            true,
+            1000 * MS,
+            1 + random.nextInt(6),
+            40 + random.nextInt(1000),
+            1,
+            100 * MS,
+            5000 * MS),
+        new Contract(
+            12 * MS, random.nextBoolean() ? 10_000 * MS : 0, 0, 0.2, 5000 * MS, 3, 2000 * MS),
+        new Prices(0, 0, 0),
+        random.nextBoolean(),
+        WeightKind.values()[random.nextInt(4)],
+        0.1,
+        true,
+        MS);
   }
 
   /** A new state for one upstream. */
   private Listed change(long id) {
-    State state = random.nextInt(3) > 0 ? State.READY : random.nextBoolean() ? State.DRAINING : State.GONE;
-    Listed listed = new Listed(id, "z" + id % 2, (int) (id / 3 * 2 + id % 2), state,
-        random.nextInt(4) == 0 ? now : 0, 1 + random.nextInt(4));
+    State state =
+        random.nextInt(3) > 0 ? State.READY : random.nextBoolean() ? State.DRAINING : State.GONE;
+    Listed listed =
+        new Listed(
+            id,
+            "z" + id % 2,
+            (int) (id / 3 * 2 + id % 2),
+            state,
+            random.nextInt(4) == 0 ? now : 0,
+            1 + random.nextInt(4));
     fleet.put(id, listed);
     return listed;
   }
@@ -164,19 +222,34 @@
       for (int i = 0; i < e.tries.size(); i++) {
         boolean late = now >= e.deadline;
         if (e.ends.get(i) == null && (late || random.nextInt(100) < percent / 4)) {
-          Status status = e.answered && random.nextBoolean() ? Status.CANCELLED : late ? Status.TIMEOUT
-              : random.nextInt(2) == 0 ? Status.SERVED : Status.values()[random.nextInt(Status.values().length)];
+          Status status =
+              e.answered && random.nextBoolean()
+                  ? Status.CANCELLED
+                  : late
+                      ? Status.TIMEOUT
+                      : random.nextInt(2) == 0
+                          ? Status.SERVED
+                          : Status.values()[random.nextInt(Status.values().length)];
           e.ends.set(i, status);
           e.answered |= status == Status.SERVED;
-          step(new Outcome(entry.getKey(), i, e.tries.get(i).upstream(), status, now - e.tries.get(i).at(), e.answered,
-              Map.of()));
+          step(
+              new Outcome(
+                  entry.getKey(),
+                  i,
+                  e.tries.get(i).upstream(),
+                  status,
+                  now - e.tries.get(i).at(),
+                  e.answered,
+                  Map.of()));
         }
       }
       if (!e.answered && random.nextInt(2000) == 0) {
         e.answered = true;
         step(new ClientGone(entry.getKey()));
       }
-      assertTrue(e.answered || now <= e.deadline + settings.contract().answerSlackNanos(), "late: " + entry.getKey());
+      assertTrue(
+          e.answered || now <= e.deadline + settings.contract().answerSlackNanos(),
+          "late: " + entry.getKey());
     }
     book.values().removeIf(e -> e.answered && e.out() == 0);
   }
@@ -193,8 +266,11 @@
         Entry e = book.get(r.id());
         assertTrue(!e.answered, "one final answer");
         boolean open = e.ends.stream().anyMatch(x -> x == null || !x.provesNotRun());
-        assertTrue(!open || e.type.effect() == Effect.SAFE
-            || e.type.effect() == Effect.KEYED && e.type.dedupScope() == DedupScope.ALL, "refusal promises too much");
+        assertTrue(
+            !open
+                || e.type.effect() == Effect.SAFE
+                || e.type.effect() == Effect.KEYED && e.type.dedupScope() == DedupScope.ALL,
+            "refusal promises too much");
         e.answered = true;
       } else if (action instanceof Fail f) {
         assertTrue(!book.get(f.id()).answered, "one final answer");
@@ -214,12 +290,15 @@
     assertTrue(now < e.deadline, "sent past the deadline");
     for (int i = 0; i < e.tries.size(); i++) {
       Try t = e.tries.get(i);
-      if (e.type.effect() != Effect.SAFE && (e.ends.get(i) == null || !e.ends.get(i).provesNotRun())) {
+      if (e.type.effect() != Effect.SAFE
+          && (e.ends.get(i) == null || !e.ends.get(i).provesNotRun())) {
         assertEquals(Effect.KEYED, e.type.effect(), "unsafe sent again");
         assertTrue(now - t.at() < e.type.dedupWindowNanos(), "resent past the window");
-        assertTrue(e.type.dedupScope() == DedupScope.ALL
-            || e.type.dedupScope() == DedupScope.ZONE && t.zone().equals(to.zone())
-            || e.type.dedupScope() == DedupScope.CELL && t.cell() == to.cell(), "resent outside the group");
+        assertTrue(
+            e.type.dedupScope() == DedupScope.ALL
+                || e.type.dedupScope() == DedupScope.ZONE && t.zone().equals(to.zone())
+                || e.type.dedupScope() == DedupScope.CELL && t.cell() == to.cell(),
+            "resent outside the group");
       }
     }
     e.tries.add(new Try(to.upstream(), to.zone(), to.cell(), now));
--- a/src/test/java/pumicekeel/adapter/MainTest.java
+++ b/src/test/java/pumicekeel/adapter/MainTest.java
@@ -17,7 +17,10 @@
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
   private int run(String input, String... args) throws IOException {
-    return Main.run(args, new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), new PrintStream(out),
+    return Main.run(
+        args,
+        new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
+        new PrintStream(out),
         new PrintStream(err));
   }
 
--- a/src/test/java/pumicekeel/node/BadInputTest.java
+++ b/src/test/java/pumicekeel/node/BadInputTest.java
@@ -25,7 +25,10 @@
         Arguments.of(400, good.replace("15000", "99999999999999999999")),
         Arguments.of(405, good.replace("GET ", "DELETE ")),
         Arguments.of(400, TestClient.order("1", 15_000).replace("Idempotency-Key: once-1\r\n", "")),
-        Arguments.of(413, TestClient.order("1", 15_000).replace("Length: 4", "Length: 70000") + "x".repeat(70_000)),
+        Arguments.of(
+            413,
+            TestClient.order("1", 15_000).replace("Length: 4", "Length: 70000")
+                + "x".repeat(70_000)),
         Arguments.of(400, "nonsense\r\n\r\n"),
         Arguments.of(400, TestClient.look("1", 15_000, "X-Long: " + "x".repeat(20_000) + "\r\n")),
         Arguments.of(400, TestClient.order("1", 15_000).replace("Length: 4", "Length: four")));
@@ -36,7 +39,8 @@
   void getsItsStatusAndTheNextClientIsServed(int status, String request) throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
-      try (TestClient client = new TestClient(node.address); TestClient next = new TestClient(node.address)) {
+      try (TestClient client = new TestClient(node.address);
+          TestClient next = new TestClient(node.address)) {
         assertEquals(status, client.call(request).status());
         assertEquals(200, next.call(TestClient.look("1", 15_000, "")).status());
         assertEquals(1, upstream.requests.size(), "none of it went on");
@@ -60,12 +64,15 @@
   @Test
   void idThatIsOpenIsAConflictAndTheFirstKeepsItsAnswer() throws Exception {
     var held = new java.util.concurrent.CountDownLatch(1);
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      held.await();
-      FakeServer.write(out, FakeServer.ok("fine"));
-    })) {
+    try (FakeServer upstream =
+        new FakeServer(
+            (request, connection, out) -> {
+              held.await();
+              FakeServer.write(out, FakeServer.ok("fine"));
+            })) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
-      try (TestClient first = new TestClient(node.address); TestClient second = new TestClient(node.address)) {
+      try (TestClient first = new TestClient(node.address);
+          TestClient second = new TestClient(node.address)) {
         first.send(TestClient.look("1", 15_000, ""));
         TestNode.until(() -> upstream.requests.size() == 1);
         assertEquals(409, second.call(TestClient.look("1", 15_000, "")).status());
--- a/src/test/java/pumicekeel/node/BalancerCoreTest.java
+++ b/src/test/java/pumicekeel/node/BalancerCoreTest.java
@@ -43,7 +43,8 @@
 
   private static final long UPSTREAM = HostList.idOf("s-0");
 
-  private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+  private final EventLoop loop =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
   private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
   private final BlockingQueue<RuntimeException> defects = new LinkedBlockingQueue<>();
@@ -59,43 +60,55 @@
     void handle(Event event, Consumer<Action> out);
   }
 
-  private final Client client = new Client() {
-    @Override
-    public boolean here() {
-      return here;
-    }
+  private final Client client =
+      new Client() {
+        @Override
+        public boolean here() {
+          return here;
+        }
 
-    @Override
-    public void served(Answer answer) {
-      answers.add("served");
-    }
+        @Override
+        public void served(Answer answer) {
+          answers.add("served");
+        }
 
-    @Override
-    public void refused(long retryAfterNanos) {
-      answers.add("refused");
-    }
+        @Override
+        public void refused(long retryAfterNanos) {
+          answers.add("refused");
+        }
 
-    @Override
-    public void failed() {
-      answers.add("failed");
-    }
-  };
+        @Override
+        public void failed() {
+          answers.add("failed");
+        }
+      };
 
   private void start(Module module, FakeServer... upstreams) throws Exception {
-    Fields f = Fields.parse("configuration", TestNode.json(TestNode.nowhere(), 3, upstreams)
-        .replace("\"drain-grace-ns\":2000000000", "\"drain-grace-ns\":" + drainGrace));
+    Fields f =
+        Fields.parse(
+            "configuration",
+            TestNode.json(TestNode.nowhere(), 3, upstreams)
+                .replace("\"drain-grace-ns\":2000000000", "\"drain-grace-ns\":" + drainGrace));
     settings = Decoder.settings(f.nested("settings"));
     ConnectionPool pool = new ConnectionPool(loop, 5_000_000_000L, 60_000_000_000L, 100);
-    core = new BalancerCore(settings, (now, event, out) -> {
-      nested |= handling;
-      handling = true;
-      events.add(event);
-      module.handle(event, out);
-      handling = false;
-    }, new Clock(), loop, new LoopLag(loop), pool, defect -> {
-      core.answerAll();
-      defects.add(defect);
-    });
+    core =
+        new BalancerCore(
+            settings,
+            (now, event, out) -> {
+              nested |= handling;
+              handling = true;
+              events.add(event);
+              module.handle(event, out);
+              handling = false;
+            },
+            new Clock(),
+            loop,
+            new LoopLag(loop),
+            pool,
+            defect -> {
+              core.answerAll();
+              defects.add(defect);
+            });
     HostList known = HostList.of(f.nested("known"));
     loop.submit(() -> core.start(known, on -> {})).get();
   }
@@ -109,15 +122,33 @@
     take(id, type, leftMillis, 0, then);
   }
 
-  private void take(String id, String type, long leftMillis, int bodyBytes, Runnable then) throws Exception {
-    var type1 = settings.classes().stream().filter(c -> c.name().equals(type)).findFirst().orElseThrow();
-    ClientRequest request = new ClientRequest(id, type1, "acme", "k", leftMillis * 1_000_000, 0, false,
-        io.netty.handler.codec.http.HttpMethod.GET, "/" + type, "h", null, null, new byte[bodyBytes]);
-    assertTrue(loop.submit(() -> {
-      boolean taken = core.take(request, client);
-      then.run();
-      return taken;
-    }).get());
+  private void take(String id, String type, long leftMillis, int bodyBytes, Runnable then)
+      throws Exception {
+    var type1 =
+        settings.classes().stream().filter(c -> c.name().equals(type)).findFirst().orElseThrow();
+    ClientRequest request =
+        new ClientRequest(
+            id,
+            type1,
+            "acme",
+            "k",
+            leftMillis * 1_000_000,
+            0,
+            false,
+            io.netty.handler.codec.http.HttpMethod.GET,
+            "/" + type,
+            "h",
+            null,
+            null,
+            new byte[bodyBytes]);
+    assertTrue(
+        loop.submit(
+                () -> {
+                  boolean taken = core.take(request, client);
+                  then.run();
+                  return taken;
+                })
+            .get());
   }
 
   private String answer() throws InterruptedException {
@@ -125,7 +156,9 @@
   }
 
   private Outcome outcome() throws InterruptedException {
-    for (Event e = events.poll(30, TimeUnit.SECONDS); e != null; e = events.poll(30, TimeUnit.SECONDS)) {
+    for (Event e = events.poll(30, TimeUnit.SECONDS);
+        e != null;
+        e = events.poll(30, TimeUnit.SECONDS)) {
       if (e instanceof Outcome o) {
         return o;
       }
@@ -172,18 +205,24 @@
 
   @Test
   void lateOutcomeStillGoesToTheModuleAndTheClientHearsNothingMore() throws Exception {
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      TestNode.until(() -> !answers.isEmpty());
-      FakeServer.write(out, FakeServer.ok("late"));
-    })) {
-      start((event, out) -> {
-        sendOnRequest(event, out);
-        if (event instanceof Request r) {
-          out.accept(new Balancer.SetTimer(r.id(), System.currentTimeMillis() * 1_000_000 + 200_000_000));
-        } else if (event instanceof Balancer.TimerFired t) {
-          out.accept(new Balancer.Refuse(t.token(), 0));
-        }
-      }, upstream);
+    try (FakeServer upstream =
+        new FakeServer(
+            (request, connection, out) -> {
+              TestNode.until(() -> !answers.isEmpty());
+              FakeServer.write(out, FakeServer.ok("late"));
+            })) {
+      start(
+          (event, out) -> {
+            sendOnRequest(event, out);
+            if (event instanceof Request r) {
+              out.accept(
+                  new Balancer.SetTimer(
+                      r.id(), System.currentTimeMillis() * 1_000_000 + 200_000_000));
+            } else if (event instanceof Balancer.TimerFired t) {
+              out.accept(new Balancer.Refuse(t.token(), 0));
+            }
+          },
+          upstream);
       take("1", "look", 15_000);
       Outcome late = outcome();
       assertEquals(Status.SERVED, late.status());
@@ -201,13 +240,18 @@
       start(BalancerCoreTest::sendOnRequest, upstream);
       take("1", "look", 15_000);
       outcome();
-      take("2", "look", 15_000, () -> {
-        for (long end = System.nanoTime() + pause; System.nanoTime() < end;) {
-          LockSupport.parkNanos(end - System.nanoTime());
-        }
-      });
+      take(
+          "2",
+          "look",
+          15_000,
+          () -> {
+            for (long end = System.nanoTime() + pause; System.nanoTime() < end; ) {
+              LockSupport.parkNanos(end - System.nanoTime());
+            }
+          });
       long latency = outcome().latencyNanos();
-      assertTrue(latency < pause * 3 / 4, "answered at once, read " + pause + " ns later: " + latency);
+      assertTrue(
+          latency < pause * 3 / 4, "answered at once, read " + pause + " ns later: " + latency);
     }
   }
 
@@ -222,14 +266,16 @@
   @Test
   void resetOfAKeptConnectionTellsOfTheConnectionAndOfANewOneOfTheUpstream() throws Exception {
     AtomicBoolean broken = new AtomicBoolean();
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      if (broken.get()) {
-        connection.setSoLinger(true, 0);
-        connection.close();
-      } else {
-        FakeServer.write(out, FakeServer.ok("fine"));
-      }
-    })) {
+    try (FakeServer upstream =
+        new FakeServer(
+            (request, connection, out) -> {
+              if (broken.get()) {
+                connection.setSoLinger(true, 0);
+                connection.close();
+              } else {
+                FakeServer.write(out, FakeServer.ok("fine"));
+              }
+            })) {
       start(BalancerCoreTest::sendOnRequest, upstream);
       take("1", "look", 15_000);
       assertFalse(outcome().stale());
@@ -264,18 +310,21 @@
   @ValueSource(booleans = {false, true})
   void clientThatLeavesBeforeTheConnectionIsUpIsNotSentOn(boolean cancels) throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      start((event, out) -> {
-        sendOnRequest(event, out);
-        if (event instanceof Balancer.ClientGone gone && cancels) {
-          out.accept(new Balancer.Cancel(gone.id(), 0));
-        }
-      }, upstream);
+      start(
+          (event, out) -> {
+            sendOnRequest(event, out);
+            if (event instanceof Balancer.ClientGone gone && cancels) {
+              out.accept(new Balancer.Cancel(gone.id(), 0));
+            }
+          },
+          upstream);
       take("1", "order", 15_000, () -> core.clientGone("1"));
       assertEquals(cancels ? Status.CANCELLED : Status.NOT_SENT, outcome().status());
       take("2", "look", 15_000);
       assertEquals("served", answer());
       assertEquals(1, upstream.requests.size());
-      assertTrue(upstream.requests.get(0).contains("X-Correlation-Id: 2\n"), upstream.requests.get(0));
+      assertTrue(
+          upstream.requests.get(0).contains("X-Correlation-Id: 2\n"), upstream.requests.get(0));
     }
   }
 
@@ -285,15 +334,24 @@
     try (ServerSocket upstream = new ServerSocket()) {
       upstream.setReceiveBufferSize(4_096);
       upstream.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-      start((event, out) -> {
-        sendOnRequest(event, out);
-        if (event instanceof Balancer.ClientGone gone) {
-          out.accept(new Balancer.Cancel(gone.id(), 0));
-        }
-      });
+      start(
+          (event, out) -> {
+            sendOnRequest(event, out);
+            if (event instanceof Balancer.ClientGone gone) {
+              out.accept(new Balancer.Cancel(gone.id(), 0));
+            }
+          });
       Balancer.Listed listed = new Balancer.Listed(UPSTREAM, "a", 1, State.READY, 0, 1);
-      loop.submit(() -> core.news(new HostList(8, false, List.of(new HostList.Host(
-          (InetSocketAddress) upstream.getLocalSocketAddress(), listed))))).get();
+      loop.submit(
+              () ->
+                  core.news(
+                      new HostList(
+                          8,
+                          false,
+                          List.of(
+                              new HostList.Host(
+                                  (InetSocketAddress) upstream.getLocalSocketAddress(), listed)))))
+          .get();
       take("1", "order", 15_000, Answer.MAX_BODY, () -> {});
       try (Socket connection = upstream.accept()) {
         InputStream in = connection.getInputStream();
@@ -311,11 +369,12 @@
 
   @Test
   void exceptionOfTheModuleAnswersAllThatIsOpen() throws Exception {
-    start((event, out) -> {
-      if (event instanceof Request r && r.id().equals("2")) {
-        throw new IllegalStateException("defect");
-      }
-    });
+    start(
+        (event, out) -> {
+          if (event instanceof Request r && r.id().equals("2")) {
+            throw new IllegalStateException("defect");
+          }
+        });
     take("1", "look", 15_000);
     take("2", "look", 15_000);
     assertEquals("refused", answer());
@@ -325,11 +384,12 @@
 
   @Test
   void actionThatTheModuleNeverEmitsIsNamed() throws Exception {
-    start((event, out) -> {
-      if (event instanceof Request) {
-        out.accept(new FetchList());
-      }
-    });
+    start(
+        (event, out) -> {
+          if (event instanceof Request) {
+            out.accept(new FetchList());
+          }
+        });
     take("1", "look", 15_000);
     assertTrue(defects.poll(30, TimeUnit.SECONDS).getMessage().contains("FetchList"));
   }
@@ -342,7 +402,8 @@
       drainGrace = grace;
       start(BalancerCoreTest::sendOnRequest, upstream);
       take("1", "look", 15_000);
-      assertEquals(Status.SERVED, outcome().status(), "an idle connection makes the next send end at once");
+      assertEquals(
+          Status.SERVED, outcome().status(), "an idle connection makes the next send end at once");
       loop.submit(() -> core.news(leaving(upstream))).get();
       take("2", "look", 15_000);
       assertEquals(Status.NOT_SENT, outcome().status());
@@ -368,16 +429,26 @@
   @ValueSource(booleans = {false, true})
   void upstreamThatTheListDropsStillAnswersWhatItHas(boolean whole) throws Exception {
     CountDownLatch dropped = new CountDownLatch(1);
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      dropped.await();
-      FakeServer.write(out, FakeServer.ok("fine"));
-    })) {
+    try (FakeServer upstream =
+        new FakeServer(
+            (request, connection, out) -> {
+              dropped.await();
+              FakeServer.write(out, FakeServer.ok("fine"));
+            })) {
       start(BalancerCoreTest::sendOnRequest, upstream);
       take("1", "order", 15_000);
       TestNode.until(() -> upstream.requests.size() == 1);
       Balancer.Listed gone = new Balancer.Listed(UPSTREAM, "a", 1, State.GONE, 0, 1);
-      loop.submit(() -> core.news(new HostList(8, whole,
-          whole ? List.of() : List.of(new HostList.Host(upstream.address(), gone))))).get();
+      loop.submit(
+              () ->
+                  core.news(
+                      new HostList(
+                          8,
+                          whole,
+                          whole
+                              ? List.of()
+                              : List.of(new HostList.Host(upstream.address(), gone)))))
+          .get();
       dropped.countDown();
       assertEquals("served", answer());
       TestNode.until(() -> upstream.closedByPeer.get() == 1);
@@ -385,23 +456,35 @@
   }
 
   private static HostList leaving(FakeServer upstream) {
-    return new HostList(8, false, List.of(new HostList.Host(upstream.address(),
-        new Balancer.Listed(UPSTREAM, "a", 1, State.DRAINING, 0, 1))));
+    return new HostList(
+        8,
+        false,
+        List.of(
+            new HostList.Host(
+                upstream.address(), new Balancer.Listed(UPSTREAM, "a", 1, State.DRAINING, 0, 1))));
   }
 
   @Test
   void repeatAfterTheKeyedWindowIsNotSent() throws Exception {
     Consumer<Consumer<Action>> again = out -> out.accept(new Send("1", UPSTREAM, 15_000_000_000L));
-    try (FakeServer upstream = new FakeServer((request, connection, out) ->
-        FakeServer.write(out, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"))) {
-      start((event, out) -> {
-        if (event instanceof Request || event instanceof Balancer.TimerFired) {
-          again.accept(out);
-        } else if (event instanceof Outcome o && o.status() == Status.ERROR) {
-          out.accept(new Balancer.SetTimer("again", System.currentTimeMillis() * 1_000_000
-              + settings.classes().get(1).dedupWindowNanos() + 50_000_000));
-        }
-      }, upstream);
+    try (FakeServer upstream =
+        new FakeServer(
+            (request, connection, out) ->
+                FakeServer.write(out, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"))) {
+      start(
+          (event, out) -> {
+            if (event instanceof Request || event instanceof Balancer.TimerFired) {
+              again.accept(out);
+            } else if (event instanceof Outcome o && o.status() == Status.ERROR) {
+              out.accept(
+                  new Balancer.SetTimer(
+                      "again",
+                      System.currentTimeMillis() * 1_000_000
+                          + settings.classes().get(1).dedupWindowNanos()
+                          + 50_000_000));
+            }
+          },
+          upstream);
       take("1", "order", 15_000);
       assertEquals(Status.ERROR, outcome().status());
       assertEquals(Status.NOT_SENT, outcome().status());
--- a/src/test/java/pumicekeel/node/ClientLeavesTest.java
+++ b/src/test/java/pumicekeel/node/ClientLeavesTest.java
@@ -27,18 +27,30 @@
 import pumicekeel.Balancer.State;
 import pumicekeel.Balancer.Status;
 
-/** Clients that leave while their request waits: it is given up at once, and nothing is sent on for nobody. */
+/**
+ * Clients that leave while their request waits: it is given up at once, and nothing is sent on for
+ * nobody.
+ */
 class ClientLeavesTest {
 
-  /** The longest that the class allows: a request that ends by its time ends far behind all that is waited for. */
+  /**
+   * The longest that the class allows: a request that ends by its time ends far behind all that is
+   * waited for.
+   */
   private static final long LEFT_MILLIS = 20_000;
-  private static final String UNPROCESSED = "HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
 
-  private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+  private static final String UNPROCESSED =
+      "HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
+
+  private final EventLoop loop =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+
   /** What ended requests, in order: their clients' leaving and the outcomes of attempts. */
   private final BlockingQueue<Event> ends = new LinkedBlockingQueue<>();
+
   /** The ids of the requests that the module was told of. */
   private final BlockingQueue<String> taken = new LinkedBlockingQueue<>();
+
   /** What is done on the loop ahead of a request's decision. */
   private volatile Runnable onRequest = () -> {};
 
@@ -46,17 +58,26 @@
     return start(true, upstreams);
   }
 
-  /** Requests wait in the module for as long as their clients do: one that was refused would prove nothing. */
+  /**
+   * Requests wait in the module for as long as their clients do: one that was refused would prove
+   * nothing.
+   */
   private TestSide start(boolean cancels, FakeServer... upstreams) throws Exception {
-    return new TestSide(loop, event -> {
-      if (event instanceof ClientGone || event instanceof Outcome) {
-        ends.add(event);
-      } else if (event instanceof Request r) {
-        onRequest.run();
-        taken.add(r.id());
-      }
-    }, configuration -> configuration.replace("\"cancel\":true", "\"cancel\":" + cancels)
-        .replace("\"aim-ns\":2000000000", "\"aim-ns\":200000000000"), upstreams);
+    return new TestSide(
+        loop,
+        event -> {
+          if (event instanceof ClientGone || event instanceof Outcome) {
+            ends.add(event);
+          } else if (event instanceof Request r) {
+            onRequest.run();
+            taken.add(r.id());
+          }
+        },
+        configuration ->
+            configuration
+                .replace("\"cancel\":true", "\"cancel\":" + cancels)
+                .replace("\"aim-ns\":2000000000", "\"aim-ns\":200000000000"),
+        upstreams);
   }
 
   @AfterEach
@@ -65,19 +86,30 @@
   }
 
   static Stream<Arguments> behind() {
-    return Stream.of(true, false).flatMap(reset -> Stream.of(
-        Arguments.of("nothing", "", "", reset),
-        Arguments.of("noise in one piece with it", "nonsense\r\n\r\n", "", reset),
-        Arguments.of("noise in one piece with it, and more", "nonsense\r\n\r\n", "x".repeat(9_000), reset),
-        Arguments.of("another request in one piece with it", TestClient.look("2", LEFT_MILLIS, ""), "", reset),
-        Arguments.of("part of another request", "", "GET /look", reset),
-        Arguments.of("much", "", "x".repeat(60_000), reset)));
+    return Stream.of(true, false)
+        .flatMap(
+            reset ->
+                Stream.of(
+                    Arguments.of("nothing", "", "", reset),
+                    Arguments.of("noise in one piece with it", "nonsense\r\n\r\n", "", reset),
+                    Arguments.of(
+                        "noise in one piece with it, and more",
+                        "nonsense\r\n\r\n",
+                        "x".repeat(9_000),
+                        reset),
+                    Arguments.of(
+                        "another request in one piece with it",
+                        TestClient.look("2", LEFT_MILLIS, ""),
+                        "",
+                        reset),
+                    Arguments.of("part of another request", "", "GET /look", reset),
+                    Arguments.of("much", "", "x".repeat(60_000), reset)));
   }
 
   @ParameterizedTest(name = "{0}, reset {3}")
   @MethodSource("behind")
-  void leavingIsSeenWhateverComesBehindTheRequest(String name, String at, String later, boolean reset)
-      throws Exception {
+  void leavingIsSeenWhateverComesBehindTheRequest(
+      String name, String at, String later, boolean reset) throws Exception {
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {})) {
       TestSide side = start(upstream);
       try (TestClient client = new TestClient(side.address)) {
@@ -96,8 +128,10 @@
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {})) {
       TestSide side = start(upstream);
       try (TestClient client = new TestClient(side.address)) {
-        client.send(TestClient.look("0", LEFT_MILLIS, "").replace("acme", "nobody")
-            + TestClient.look("1", LEFT_MILLIS, "") + TestClient.look("2", LEFT_MILLIS, ""));
+        client.send(
+            TestClient.look("0", LEFT_MILLIS, "").replace("acme", "nobody")
+                + TestClient.look("1", LEFT_MILLIS, "")
+                + TestClient.look("2", LEFT_MILLIS, ""));
         TestNode.until(() -> upstream.requests.size() == 1);
         client.leave(false);
       }
@@ -123,23 +157,31 @@
 
   /** What a client sends ahead of its end, by which a loop that is behind finds both unread. */
   static Stream<Arguments> unread() {
-    return Stream.of(true, false).flatMap(reset -> Stream.of(
-        Arguments.of("nothing", "", reset),
-        Arguments.of("a byte", "x", reset),
-        Arguments.of("noise", "nonsense\r\n\r\n", reset),
-        Arguments.of("another request", TestClient.look("more", LEFT_MILLIS, ""), reset),
-        Arguments.of("more than is read in a round", "x".repeat(9_000), reset),
-        Arguments.of("much", "x".repeat(40_000), reset)));
+    return Stream.of(true, false)
+        .flatMap(
+            reset ->
+                Stream.of(
+                    Arguments.of("nothing", "", reset),
+                    Arguments.of("a byte", "x", reset),
+                    Arguments.of("noise", "nonsense\r\n\r\n", reset),
+                    Arguments.of(
+                        "another request", TestClient.look("more", LEFT_MILLIS, ""), reset),
+                    Arguments.of("more than is read in a round", "x".repeat(9_000), reset),
+                    Arguments.of("much", "x".repeat(40_000), reset)));
   }
 
   /** A loop that is behind finds the request and its client's end in the socket together. */
   @ParameterizedTest(name = "{0}, reset {2}")
   @MethodSource("unread")
-  void requestThatIsReadOnceItsClientHasLeftIsNotSent(String name, String more, boolean reset) throws Exception {
+  void requestThatIsReadOnceItsClientHasLeftIsNotSent(String name, String more, boolean reset)
+      throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
       TestSide side = start(upstream);
       try (TestClient client = new TestClient(side.address)) {
-        assertEquals(200, client.call(TestClient.look("1", LEFT_MILLIS, "")).status(), "a connection is there now");
+        assertEquals(
+            200,
+            client.call(TestClient.look("1", LEFT_MILLIS, "")).status(),
+            "a connection is there now");
         CountDownLatch behind = new CountDownLatch(1);
         loop.execute(() -> TestNode.await(behind));
         client.send(TestClient.look("2", LEFT_MILLIS, "")).send(more).leave(reset);
@@ -152,17 +194,24 @@
 
   @ParameterizedTest(name = "{0}, reset {2}")
   @MethodSource("unread")
-  void requestWhoseClientHasLeftUnseenIsNotTriedAgain(String name, String more, boolean reset) throws Exception {
+  void requestWhoseClientHasLeftUnseenIsNotTriedAgain(String name, String more, boolean reset)
+      throws Exception {
     for (boolean leavesFirst : new boolean[] {true, false}) {
       CountDownLatch left = new CountDownLatch(leavesFirst ? 1 : 0);
       CountDownLatch mayAnswer = new CountDownLatch(1);
       CountDownLatch answered = new CountDownLatch(1);
-      try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-        mayAnswer.await();
-        left.await();
-        FakeServer.write(out, request.contains("X-Correlation-Id: 1\n") ? UNPROCESSED : FakeServer.ok("fine"));
-        answered.countDown();
-      })) {
+      try (FakeServer upstream =
+          new FakeServer(
+              (request, connection, out) -> {
+                mayAnswer.await();
+                left.await();
+                FakeServer.write(
+                    out,
+                    request.contains("X-Correlation-Id: 1\n")
+                        ? UNPROCESSED
+                        : FakeServer.ok("fine"));
+                answered.countDown();
+              })) {
         TestSide side = start(upstream);
         try (TestClient client = new TestClient(side.address)) {
           client.send(TestClient.look("1", LEFT_MILLIS, ""));
@@ -171,7 +220,8 @@
           loop.execute(() -> TestNode.await(behind));
           mayAnswer.countDown();
           if (!leavesFirst) {
-            // The loop reads first what was there first: the outcome, and tries again ahead of the client's end.
+            // The loop reads first what was there first: the outcome, and tries again ahead of the
+            // client's end.
             answered.await();
           }
           client.send(more).leave(reset);
@@ -186,19 +236,31 @@
   }
 
   static Stream<Arguments> ways() {
-    return Stream.of(true, false).flatMap(cancels -> Stream.of(true, false).flatMap(reset ->
-        Stream.of(true, false).map(seen -> Arguments.of(cancels, reset, seen))));
+    return Stream.of(true, false)
+        .flatMap(
+            cancels ->
+                Stream.of(true, false)
+                    .flatMap(
+                        reset ->
+                            Stream.of(true, false)
+                                .map(seen -> Arguments.of(cancels, reset, seen))));
   }
 
-  /** Whether room comes after the client's end was read, or is there for a loop that is behind ahead of it. */
+  /**
+   * Whether room comes after the client's end was read, or is there for a loop that is behind ahead
+   * of it.
+   */
   @ParameterizedTest(name = "cancel {0}, reset {1}, seen {2}")
   @MethodSource("ways")
-  void requestThatIsQueuedIsNotSentOnceItsClientHasLeft(boolean cancels, boolean reset, boolean seen)
-      throws Exception {
+  void requestThatIsQueuedIsNotSentOnceItsClientHasLeft(
+      boolean cancels, boolean reset, boolean seen) throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
       TestSide side = start(cancels, upstream);
       try (TestClient client = new TestClient(side.address)) {
-        assertEquals(200, client.call(TestClient.look("1", LEFT_MILLIS, "")).status(), "a connection is there now");
+        assertEquals(
+            200,
+            client.call(TestClient.look("1", LEFT_MILLIS, "")).status(),
+            "a connection is there now");
         side.list(0, upstream, State.DRAINING).get();
         client.send(TestClient.look("2", LEFT_MILLIS, ""));
         TestNode.until(() -> taken.contains("2"));
@@ -213,16 +275,20 @@
   /** One upstream is full, and the other has turned the request away. */
   @ParameterizedTest(name = "cancel {0}, reset {1}, seen {2}")
   @MethodSource("ways")
-  void requestThatIsQueuedForItsRetryIsNotSentOnceItsClientHasLeft(boolean cancels, boolean reset, boolean seen)
-      throws Exception {
+  void requestThatIsQueuedForItsRetryIsNotSentOnceItsClientHasLeft(
+      boolean cancels, boolean reset, boolean seen) throws Exception {
     int fill = 8;
     CountDownLatch room = new CountDownLatch(1);
     CountDownLatch answered = new CountDownLatch(fill);
-    try (FakeServer full = new FakeServer((request, connection, out) -> {
-      room.await();
-      FakeServer.write(out, FakeServer.ok("fine"));
-      answered.countDown();
-    }); FakeServer refuses = new FakeServer((request, connection, out) -> FakeServer.write(out, UNPROCESSED))) {
+    try (FakeServer full =
+            new FakeServer(
+                (request, connection, out) -> {
+                  room.await();
+                  FakeServer.write(out, FakeServer.ok("fine"));
+                  answered.countDown();
+                });
+        FakeServer refuses =
+            new FakeServer((request, connection, out) -> FakeServer.write(out, UNPROCESSED))) {
       TestSide side = start(cancels, full);
       List<TestClient> others = new ArrayList<>();
       for (int i = 0; i < fill; i++) {
@@ -232,11 +298,16 @@
       side.list(1, refuses, State.READY).get();
       try (TestClient client = new TestClient(side.address)) {
         client.send(TestClient.look("retried", LEFT_MILLIS, ""));
-        TestNode.until(() -> ends.stream().anyMatch(e -> e instanceof Outcome o && o.status() == Status.FULL));
-        leave(client, reset, seen, () -> {
-          room.countDown();
-          TestNode.await(answered);
-        });
+        TestNode.until(
+            () -> ends.stream().anyMatch(e -> e instanceof Outcome o && o.status() == Status.FULL));
+        leave(
+            client,
+            reset,
+            seen,
+            () -> {
+              room.countDown();
+              TestNode.await(answered);
+            });
         for (TestClient other : others) {
           assertEquals(200, other.read().status());
           other.close();
@@ -251,7 +322,8 @@
   }
 
   /** The client leaves, and room comes: behind its end as read, or unread but ahead of it. */
-  private void leave(TestClient client, boolean reset, boolean seen, Runnable room) throws Exception {
+  private void leave(TestClient client, boolean reset, boolean seen, Runnable room)
+      throws Exception {
     CountDownLatch behind = new CountDownLatch(1);
     if (seen) {
       client.leave(reset);
@@ -268,8 +340,8 @@
   /** The loop finds the connection up and the client's end together, the connection first. */
   @ParameterizedTest(name = "{0}, reset {2}")
   @MethodSource("unread")
-  void requestWhoseConnectionComesUpOnceItsClientHasLeftIsNotSent(String name, String more, boolean reset)
-      throws Exception {
+  void requestWhoseConnectionComesUpOnceItsClientHasLeftIsNotSent(
+      String name, String more, boolean reset) throws Exception {
     for (boolean cancels : new boolean[] {true, false}) {
       try (FakeServer upstream = FakeServer.serving("fine")) {
         TestSide side = start(cancels, upstream);
@@ -289,15 +361,24 @@
     }
   }
 
-  /** A mistake stops the reading for a while: what is read after that may have its client's end behind it. */
+  /**
+   * A mistake stops the reading for a while: what is read after that may have its client's end
+   * behind it.
+   */
   @ParameterizedTest(name = "{0}, reset {2}")
   @MethodSource("unread")
-  void requestBehindAMistakeIsNotSentOnceItsClientHasLeft(String name, String more, boolean reset) throws Exception {
+  void requestBehindAMistakeIsNotSentOnceItsClientHasLeft(String name, String more, boolean reset)
+      throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
       TestSide side = start(upstream);
       try (TestClient client = new TestClient(side.address)) {
-        assertEquals(200, client.call(TestClient.look("1", LEFT_MILLIS, "")).status(), "a connection is there now");
-        assertEquals(400, client.call(TestClient.look("2", LEFT_MILLIS, "").replace("acme", "nobody")).status());
+        assertEquals(
+            200,
+            client.call(TestClient.look("1", LEFT_MILLIS, "")).status(),
+            "a connection is there now");
+        assertEquals(
+            400,
+            client.call(TestClient.look("2", LEFT_MILLIS, "").replace("acme", "nobody")).status());
         CountDownLatch behind = new CountDownLatch(1);
         loop.execute(() -> TestNode.await(behind));
         client.send(TestClient.look("3", LEFT_MILLIS, "")).send(more).leave(reset);
@@ -308,22 +389,31 @@
     }
   }
 
-  /** One that ends its half of the connection has left too, though it asked for no more than this answer. */
+  /**
+   * One that ends its half of the connection has left too, though it asked for no more than this
+   * answer.
+   */
   @Test
   void clientThatEndsItsHalfHasLeft() throws Exception {
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      if (!request.contains("X-Correlation-Id: 1\n")) {
-        FakeServer.write(out, FakeServer.ok("fine"));
-      }
-    })) {
+    try (FakeServer upstream =
+        new FakeServer(
+            (request, connection, out) -> {
+              if (!request.contains("X-Correlation-Id: 1\n")) {
+                FakeServer.write(out, FakeServer.ok("fine"));
+              }
+            })) {
       TestSide side = start(upstream);
-      try (TestClient seen = new TestClient(side.address); TestClient unseen = new TestClient(side.address)) {
+      try (TestClient seen = new TestClient(side.address);
+          TestClient unseen = new TestClient(side.address)) {
         seen.send(TestClient.look("1", LEFT_MILLIS, "Connection: close\r\n"));
         TestNode.until(() -> upstream.requests.size() == 1);
         seen.endOutput();
         assertInstanceOf(ClientGone.class, ends.poll(30, TimeUnit.SECONDS), "its time was not up");
         assertTrue(seen.ended());
-        assertEquals(200, unseen.call(TestClient.look("2", LEFT_MILLIS, "")).status(), "a connection is there now");
+        assertEquals(
+            200,
+            unseen.call(TestClient.look("2", LEFT_MILLIS, "")).status(),
+            "a connection is there now");
         CountDownLatch behind = new CountDownLatch(1);
         loop.execute(() -> TestNode.await(behind));
         unseen.send(TestClient.look("3", LEFT_MILLIS, "Connection: close\r\n")).endOutput();
@@ -335,19 +425,25 @@
     }
   }
 
-  /** Its end may be read only once another connection asks under the same id, and that one has not left. */
+  /**
+   * Its end may be read only once another connection asks under the same id, and that one has not
+   * left.
+   */
   @ParameterizedTest(name = "reset {0}")
   @ValueSource(booleans = {false, true})
   void clientThatAsksAgainOnAnotherConnectionIsAnswered(boolean reset) throws Exception {
     CountDownLatch left = new CountDownLatch(1);
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      if (request.contains("X-Correlation-Id: again\n")) {
-        left.await();
-      }
-      FakeServer.write(out, FakeServer.ok("fine"));
-    })) {
+    try (FakeServer upstream =
+        new FakeServer(
+            (request, connection, out) -> {
+              if (request.contains("X-Correlation-Id: again\n")) {
+                left.await();
+              }
+              FakeServer.write(out, FakeServer.ok("fine"));
+            })) {
       TestSide side = start(upstream);
-      try (TestClient first = new TestClient(side.address); TestClient second = new TestClient(side.address)) {
+      try (TestClient first = new TestClient(side.address);
+          TestClient second = new TestClient(side.address)) {
         assertEquals(200, first.call(TestClient.look("1", LEFT_MILLIS, "")).status());
         assertEquals(200, second.call(TestClient.look("2", LEFT_MILLIS, "")).status());
         CountDownLatch behind = new CountDownLatch(1);
@@ -363,10 +459,12 @@
     }
   }
 
-  private void assertNextIsServed(TestSide side, FakeServer upstream, int requests) throws Exception {
+  private void assertNextIsServed(TestSide side, FakeServer upstream, int requests)
+      throws Exception {
     try (TestClient next = new TestClient(side.address)) {
       assertEquals(200, next.call(TestClient.look("next", LEFT_MILLIS, "")).status());
     }
-    assertEquals(requests, upstream.requests.size(), String.join("\n", List.copyOf(upstream.requests)));
+    assertEquals(
+        requests, upstream.requests.size(), String.join("\n", List.copyOf(upstream.requests)));
   }
 }
--- a/src/test/java/pumicekeel/node/ClientLimitsTest.java
+++ b/src/test/java/pumicekeel/node/ClientLimitsTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Clients that say nothing, never finish, hide something or flood: each gets an error or an end, all others go on. */
+/**
+ * Clients that say nothing, never finish, hide something or flood: each gets an error or an end,
+ * all others go on.
+ */
 class ClientLimitsTest {
 
   private static final String ORDER = TestClient.order("1", 15_000);
@@ -30,8 +33,13 @@
   }
 
   static Stream<String> unfinished() {
-    return Stream.of("GET /look HTTP/1.1\r\nHost: h\r\n", "G", ORDER.replace("Length: 4", "Length: 400"),
-        ORDER.replace("Content-Length: 4", "Transfer-Encoding: chunked").replace("body", "4\r\nbody\r\n"));
+    return Stream.of(
+        "GET /look HTTP/1.1\r\nHost: h\r\n",
+        "G",
+        ORDER.replace("Length: 4", "Length: 400"),
+        ORDER
+            .replace("Content-Length: 4", "Transfer-Encoding: chunked")
+            .replace("body", "4\r\nbody\r\n"));
   }
 
   @ParameterizedTest
@@ -51,7 +59,9 @@
     return Arguments.of(status, ORDER.replace(from, to));
   }
 
-  /** With what is hidden in the body: each must be refused as a whole, and nothing of it passed on. */
+  /**
+   * With what is hidden in the body: each must be refused as a whole, and nothing of it passed on.
+   */
   static Stream<Arguments> smuggled() {
     String hidden = "0\r\n\r\n" + TestClient.look("2", 15_000, "");
     String both = "Content-Length: " + hidden.length() + "\r\nTransfer-Encoding: ";
@@ -61,8 +71,14 @@
         row(400, "Content-Length: 4\r\n\r\nbody", both + "identity\r\n\r\n" + hidden),
         row(400, "Content-Length: 4\r\n\r\nbody", both + "\tchunked\r\n\r\n" + hidden),
         row(400, "Content-Length: 4\r\n\r\nbody", both + "\r\n chunked\r\n\r\n" + hidden),
-        row(400, "Content-Length: 4\r\n\r\nbody", both.replace("Encoding:", "Encoding :") + "chunked\r\n\r\n" + hidden),
-        row(400, "Content-Length: 4\r\n\r\nbody", both + "chunked\r\nTransfer-Encoding: chunked\r\n\r\n" + hidden),
+        row(
+            400,
+            "Content-Length: 4\r\n\r\nbody",
+            both.replace("Encoding:", "Encoding :") + "chunked\r\n\r\n" + hidden),
+        row(
+            400,
+            "Content-Length: 4\r\n\r\nbody",
+            both + "chunked\r\nTransfer-Encoding: chunked\r\n\r\n" + hidden),
         row(400, "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 4"),
         row(400, "Content-Length: 4", "Content-Length: 4, 4"),
         row(400, "Content-Length: 4", "Content-Length: +4"),
@@ -78,7 +94,8 @@
   void framingThatCanBeReadInTwoWaysIsRefusedAndEnded(int status, String request) throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
-      try (TestClient client = new TestClient(node.address); TestClient next = new TestClient(node.address)) {
+      try (TestClient client = new TestClient(node.address);
+          TestClient next = new TestClient(node.address)) {
         assertEquals(status, client.call(request).status());
         assertTrue(client.ended());
         assertEquals(200, next.call(TestClient.look("3", 15_000, "")).status());
@@ -88,8 +105,13 @@
   }
 
   static Stream<String> repeated() {
-    return Stream.of("X-Correlation-Id: 2", "X-Service-Class: order", "X-Account: acme", "X-Session-Key: q",
-        "X-Time-Left-Ms: 9", "Idempotency-Key: other");
+    return Stream.of(
+        "X-Correlation-Id: 2",
+        "X-Service-Class: order",
+        "X-Account: acme",
+        "X-Session-Key: q",
+        "X-Time-Left-Ms: 9",
+        "Idempotency-Key: other");
   }
 
   @ParameterizedTest
@@ -109,7 +131,8 @@
     try (FakeServer upstream = FakeServer.serving("fine")) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
-        assertEquals(400, client.call(TestClient.look("1", 15_000, "").replace("acme", "nobody")).status());
+        assertEquals(
+            400, client.call(TestClient.look("1", 15_000, "").replace("acme", "nobody")).status());
         long told = System.nanoTime();
         assertEquals(200, client.call(TestClient.look("2", 15_000, "")).status());
         assertTrue(System.nanoTime() - told > 300_000_000L, "not at full speed");
@@ -120,7 +143,10 @@
   @Test
   void silentConnectionsAtTheLimitGiveWayToOneThatAsks() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.json(TestNode.nowhere(), 1, upstream).replace("\"sockets\":1024", "\"sockets\":20"));
+      TestNode node =
+          new TestNode(
+              TestNode.json(TestNode.nowhere(), 1, upstream)
+                  .replace("\"sockets\":1024", "\"sockets\":20"));
       List<TestClient> silent = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
         silent.add(new TestClient(node.address));
@@ -157,7 +183,10 @@
     }
   }
 
-  /** Guards the descriptors of upstreams and discovery: a crowd that waits to be accepted must not take them. */
+  /**
+   * Guards the descriptors of upstreams and discovery: a crowd that waits to be accepted must not
+   * take them.
+   */
   @Test
   void crowdIsAcceptedUpToTheLimitAndNoFurther() throws Exception {
     EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -171,10 +200,11 @@
       }
       behind.countDown();
       int[] most = {0};
-      TestNode.until(() -> {
-        most[0] = Math.max(most[0], side.open());
-        return most[0] >= TestSide.MOST;
-      });
+      TestNode.until(
+          () -> {
+            most[0] = Math.max(most[0], side.open());
+            return most[0] >= TestSide.MOST;
+          });
       for (int i = 0; i < 1_000; i++) {
         most[0] = Math.max(most[0], side.open());
       }
--- a/src/test/java/pumicekeel/node/ClockLoop.java
+++ b/src/test/java/pumicekeel/node/ClockLoop.java
@@ -37,19 +37,23 @@
 
   /** Time to the next timer, seen between two pieces of the loop's work; -1 where there is none. */
   long untilNext() {
-    return submit(() -> earliest() == null ? -1 : earliest().atMillis() - now).syncUninterruptibly().getNow();
+    return submit(() -> earliest() == null ? -1 : earliest().atMillis() - now)
+        .syncUninterruptibly()
+        .getNow();
   }
 
   /** Moves the clock on, with the timers that come due on the way. */
   void pass(long millis) {
-    submit(() -> {
-      long end = now + millis;
-      for (Timer due = earliest(); due != null && due.atMillis() <= end; due = earliest()) {
-        timers.remove(due);
-        now = due.atMillis();
-        due.task().run();
-      }
-      now = end;
-    }).syncUninterruptibly();
+    submit(
+            () -> {
+              long end = now + millis;
+              for (Timer due = earliest(); due != null && due.atMillis() <= end; due = earliest()) {
+                timers.remove(due);
+                now = due.atMillis();
+                due.task().run();
+              }
+              now = end;
+            })
+        .syncUninterruptibly();
   }
 }
--- a/src/test/java/pumicekeel/node/ConnectionPoolTest.java
+++ b/src/test/java/pumicekeel/node/ConnectionPoolTest.java
@@ -24,14 +24,30 @@
 
   private static final long LONG = 60_000_000_000L;
 
-  private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+  private final EventLoop loop =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   private final BlockingQueue<Status> outcomes = new LinkedBlockingQueue<>();
 
   private void send(UpstreamPool pool, String id, boolean maySend, UpstreamAttempt.Ending ending) {
-    RequestClass type = new RequestClass("look", Effect.SAFE, DedupScope.ALL, LONG, LONG, 0, LONG, 1, 0, false);
+    RequestClass type =
+        new RequestClass("look", Effect.SAFE, DedupScope.ALL, LONG, LONG, 0, LONG, 1, 0, false);
     ClientRequest request =
-        new ClientRequest(id, type, "acme", "k", LONG, 0, false, HttpMethod.GET, "/look", "h", null, null, new byte[0]);
-    new UpstreamAttempt(0, 1, 0, pool, ending).start(request, LONG, () -> maySend, new Clock(), loop);
+        new ClientRequest(
+            id,
+            type,
+            "acme",
+            "k",
+            LONG,
+            0,
+            false,
+            HttpMethod.GET,
+            "/look",
+            "h",
+            null,
+            null,
+            new byte[0]);
+    new UpstreamAttempt(0, 1, 0, pool, ending)
+        .start(request, LONG, () -> maySend, new Clock(), loop);
   }
 
   private void attempt(UpstreamPool pool, boolean maySend) {
@@ -48,17 +64,31 @@
 
   @Test
   void secondCopyRightBehindAnAnswerIsNotTheNextSendsAnswer() throws Exception {
-    // The next send starts from within the first one's outcome, as a module does that had a request waiting.
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      String answer = FakeServer.ok(request.contains("X-Correlation-Id: 1\n") ? "mine" : "next");
-      FakeServer.write(out, answer + answer);
-    })) {
+    // The next send starts from within the first one's outcome, as a module does that had a request
+    // waiting.
+    try (FakeServer upstream =
+        new FakeServer(
+            (request, connection, out) -> {
+              String answer =
+                  FakeServer.ok(request.contains("X-Correlation-Id: 1\n") ? "mine" : "next");
+              FakeServer.write(out, answer + answer);
+            })) {
       UpstreamPool pool = of(pool(LONG, 10), upstream.address());
       BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
-      loop.execute(() -> send(pool, "1", true, (first, status, answer) -> {
-        bodies.add(new String(answer.body()));
-        send(pool, "2", true, (second, status2, answer2) -> bodies.add(new String(answer2.body())));
-      }));
+      loop.execute(
+          () ->
+              send(
+                  pool,
+                  "1",
+                  true,
+                  (first, status, answer) -> {
+                    bodies.add(new String(answer.body()));
+                    send(
+                        pool,
+                        "2",
+                        true,
+                        (second, status2, answer2) -> bodies.add(new String(answer2.body())));
+                  }));
       assertEquals("mine", bodies.poll(30, TimeUnit.SECONDS));
       assertEquals("next", bodies.poll(30, TimeUnit.SECONDS));
     }
@@ -98,16 +128,18 @@
   @Test
   void keptConnectionThatWasBrokenTakesThoseWithItThatWereKeptForLonger() throws Exception {
     AtomicInteger waiting = new AtomicInteger();
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      if (request.contains("X-Correlation-Id: break\n")) {
-        connection.setSoLinger(true, 0);
-        connection.close();
-        return;
-      }
-      waiting.incrementAndGet();
-      TestNode.until(() -> waiting.get() == 3);
-      FakeServer.write(out, FakeServer.ok("fine"));
-    })) {
+    try (FakeServer upstream =
+        new FakeServer(
+            (request, connection, out) -> {
+              if (request.contains("X-Correlation-Id: break\n")) {
+                connection.setSoLinger(true, 0);
+                connection.close();
+                return;
+              }
+              waiting.incrementAndGet();
+              TestNode.until(() -> waiting.get() == 3);
+              FakeServer.write(out, FakeServer.ok("fine"));
+            })) {
       UpstreamPool pool = of(pool(LONG, 10), upstream.address());
       for (int i = 0; i < 3; i++) {
         attempt(pool, true);
@@ -115,7 +147,8 @@
       for (int i = 0; i < 3; i++) {
         assertEquals(Status.SERVED, outcome());
       }
-      loop.execute(() -> send(pool, "break", true, (attempt, status, answer) -> outcomes.add(status)));
+      loop.execute(
+          () -> send(pool, "break", true, (attempt, status, answer) -> outcomes.add(status)));
       assertEquals(Status.RESET, outcome());
       TestNode.until(() -> upstream.closedByPeer.get() == 3);
     }
@@ -123,7 +156,8 @@
 
   @Test
   void atTheLimitAnIdleConnectionGivesWayAndABusyOneDoesNot() throws Exception {
-    try (FakeServer first = FakeServer.serving("fine"); FakeServer second = new FakeServer((r, c, out) -> {})) {
+    try (FakeServer first = FakeServer.serving("fine");
+        FakeServer second = new FakeServer((r, c, out) -> {})) {
       ConnectionPool pool = pool(LONG, 1);
       UpstreamPool toFirst = of(pool, first.address());
       attempt(toFirst, true);
@@ -136,23 +170,43 @@
     }
   }
 
-  /** Guards the one event loop: Netty tells of a socket that it could not make on a thread of its own. */
+  /**
+   * Guards the one event loop: Netty tells of a socket that it could not make on a thread of its
+   * own.
+   */
   @Test
   void attemptWithoutADescriptorForItsSocketFailsAtOnceAndTakesNoRoom() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
       AtomicInteger left = new AtomicInteger(2);
-      UpstreamPool pool = of(loop.submit(() -> new ConnectionPool(loop, LONG, LONG, 1, () -> {
-        if (left.getAndDecrement() > 0) {
-          throw new ChannelException("too many open files");
-        }
-        return new PeerSocket();
-      })).get(), upstream.address());
+      UpstreamPool pool =
+          of(
+              loop.submit(
+                      () ->
+                          new ConnectionPool(
+                              loop,
+                              LONG,
+                              LONG,
+                              1,
+                              () -> {
+                                if (left.getAndDecrement() > 0) {
+                                  throw new ChannelException("too many open files");
+                                }
+                                return new PeerSocket();
+                              }))
+                  .get(),
+              upstream.address());
       BlockingQueue<Boolean> onLoop = new LinkedBlockingQueue<>();
       for (int i = 0; i < 2; i++) {
-        loop.execute(() -> send(pool, "1", true, (attempt, status, answer) -> {
-          outcomes.add(status);
-          onLoop.add(loop.inEventLoop());
-        }));
+        loop.execute(
+            () ->
+                send(
+                    pool,
+                    "1",
+                    true,
+                    (attempt, status, answer) -> {
+                      outcomes.add(status);
+                      onLoop.add(loop.inEventLoop());
+                    }));
         assertEquals(Status.CONNECT_FAILED, outcome());
         assertEquals(true, onLoop.poll(30, TimeUnit.SECONDS), "an outcome is the loop's");
       }
--- a/src/test/java/pumicekeel/node/CountersTest.java
+++ b/src/test/java/pumicekeel/node/CountersTest.java
@@ -22,7 +22,8 @@
     counters.ended(address, Counters.Kind.COLD, Status.SERVED, false, 0, 200 * MS);
     counters.ended(address, Counters.Kind.COLD, Status.TIMEOUT, false, 0, 900 * MS);
     String line = counters.report();
-    assertTrue(line.contains("served near 2 50.0, away 1 70.0, cold 1 200.0, timed out 900.0;"), line);
+    assertTrue(
+        line.contains("served near 2 50.0, away 1 70.0, cold 1 200.0, timed out 900.0;"), line);
     assertNull(counters.report(), "nothing since");
   }
 }
--- a/src/test/java/pumicekeel/node/DiscoveryTest.java
+++ b/src/test/java/pumicekeel/node/DiscoveryTest.java
@@ -46,11 +46,13 @@
 
   private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+  private final EventLoop loop =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   private final BlockingQueue<Object> heard = new LinkedBlockingQueue<>();
 
   /** Bounds by the clock that a test moves on. */
   private static final long CALL = 1_000;
+
   private static final long SILENCE = 3_250;
 
   private final ClockLoop clock = new ClockLoop();
@@ -60,7 +62,13 @@
   }
 
   private static String list(long index, boolean whole, String... endpoints) {
-    return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[" + String.join(",", endpoints) + "]}\n";
+    return "{\"index\":"
+        + index
+        + ",\"snapshot\":"
+        + whole
+        + ",\"endpoints\":["
+        + String.join(",", endpoints)
+        + "]}\n";
   }
 
   /** A watch that may be silent for so long and whose call has no other bound. */
@@ -69,14 +77,16 @@
   }
 
   private Discovery discovery(InetSocketAddress address, long callMillis, long silenceMillis) {
-    Discovery discovery = new Discovery(loop, address, 7, callMillis, silenceMillis, heard::add,
-        () -> heard.add("failed"));
+    Discovery discovery =
+        new Discovery(
+            loop, address, 7, callMillis, silenceMillis, heard::add, () -> heard.add("failed"));
     loop.execute(() -> discovery.watch(true));
     return discovery;
   }
 
   private Discovery clocked(InetSocketAddress address) {
-    Discovery discovery = new Discovery(clock, address, 7, CALL, SILENCE, heard::add, () -> heard.add("failed"));
+    Discovery discovery =
+        new Discovery(clock, address, 7, CALL, SILENCE, heard::add, () -> heard.add("failed"));
     clock.execute(() -> discovery.watch(true));
     return discovery;
   }
@@ -93,28 +103,35 @@
 
   @Test
   void linesMayBeSplitAnywhereAndTheNextWatchAsksForWhatCameAfter() throws Exception {
-    try (FakeServer server = new FakeServer((request, connection, out) -> {
-      FakeServer.write(out, HEAD);
-      for (char c : ("\n" + list(8, true) + "\n\n" + list(9, false)).toCharArray()) {
-        chunk(out, String.valueOf(c));
-      }
-      FakeServer.write(out, "0\r\n\r\n");
-    })) {
+    try (FakeServer server =
+        new FakeServer(
+            (request, connection, out) -> {
+              FakeServer.write(out, HEAD);
+              for (char c : ("\n" + list(8, true) + "\n\n" + list(9, false)).toCharArray()) {
+                chunk(out, String.valueOf(c));
+              }
+              FakeServer.write(out, "0\r\n\r\n");
+            })) {
       Discovery discovery = discovery(server.address(), 60_000);
       assertEquals(8, ((HostList) next()).index());
       assertEquals(9, ((HostList) next()).index());
       assertEquals("failed", next(), "a watch that ended");
       loop.execute(() -> discovery.watch(true));
       next();
-      assertTrue(server.requests.get(0).startsWith("GET /discovery/hosts?watch=1&after=7 "), server.requests.get(0));
-      assertTrue(server.requests.get(1).startsWith("GET /discovery/hosts?watch=1&after=9 "), server.requests.get(1));
+      assertTrue(
+          server.requests.get(0).startsWith("GET /discovery/hosts?watch=1&after=7 "),
+          server.requests.get(0));
+      assertTrue(
+          server.requests.get(1).startsWith("GET /discovery/hosts?watch=1&after=9 "),
+          server.requests.get(1));
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"\n", "\r\n"})
   void listsMayBeIndentedOverSeveralLines(String end) throws Exception {
-    String first = """
+    String first =
+        """
         {
           "index": 8,
           "snapshot": true,
@@ -127,13 +144,16 @@
             }
           ]
         }
-        """.replace("\n", end);
+        """
+            .replace("\n", end);
     String second = list(9, false).replace("{", "{" + end).replace(",", "," + end + "\t");
-    try (FakeServer server = new FakeServer((request, connection, out) -> {
-      FakeServer.write(out, HEAD);
-      chunk(out, end + first + second + end + first.replace("8", "10").substring(0, 40));
-      chunk(out, first.replace("8", "10").substring(40) + end);
-    })) {
+    try (FakeServer server =
+        new FakeServer(
+            (request, connection, out) -> {
+              FakeServer.write(out, HEAD);
+              chunk(out, end + first + second + end + first.replace("8", "10").substring(0, 40));
+              chunk(out, first.replace("8", "10").substring(40) + end);
+            })) {
       discovery(server.address(), 60_000);
       HostList list = (HostList) next();
       assertEquals(8, list.index());
@@ -144,18 +164,22 @@
     }
   }
 
-  /** Guards the drain rule: a watch that never ends its list looks alive by what comes behind it. */
+  /**
+   * Guards the drain rule: a watch that never ends its list looks alive by what comes behind it.
+   */
   @Test
   void listThatStopsHalfwayIsSilenceThoughHeartbeatsGoOn() throws Exception {
-    try (FakeServer server = new FakeServer((request, connection, out) -> {
-      FakeServer.write(out, HEAD);
-      chunk(out, list(8, true));
-      chunk(out, "{\"index\": 9,\n");
-      while (true) {
-        Thread.sleep(20);
-        chunk(out, "\n");
-      }
-    })) {
+    try (FakeServer server =
+        new FakeServer(
+            (request, connection, out) -> {
+              FakeServer.write(out, HEAD);
+              chunk(out, list(8, true));
+              chunk(out, "{\"index\": 9,\n");
+              while (true) {
+                Thread.sleep(20);
+                chunk(out, "\n");
+              }
+            })) {
       discovery(server.address(), 1_000);
       assertEquals(8, ((HostList) next()).index());
       assertEquals("failed", next());
@@ -166,7 +190,8 @@
 
   @Test
   void silentWatchFailsOnceAndIsClosed() throws Exception {
-    try (FakeServer server = new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD))) {
+    try (FakeServer server =
+        new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD))) {
       discovery(server.address(), 200);
       assertEquals("failed", next());
       TestNode.until(() -> server.closedByPeer.get() == 1);
@@ -178,7 +203,8 @@
   @ParameterizedTest
   @ValueSource(strings = {"", "HTTP/1.1 200", HEAD, HEAD + "1", HEAD + "12\r\n{\"index\": 8,"})
   void callThatTellsNothingEndsBeforeAWatchWouldBeSilent(String text) throws Exception {
-    try (FakeServer server = new FakeServer((request, connection, out) -> FakeServer.write(out, text))) {
+    try (FakeServer server =
+        new FakeServer((request, connection, out) -> FakeServer.write(out, text))) {
       discovery(server.address(), 200, 60_000);
       assertEquals("failed", next());
       TestNode.until(() -> server.closedByPeer.get() == 1);
@@ -207,14 +233,19 @@
     }
   }
 
-  /** What ends a call that told nothing must not end a watch, which nothing new may keep silent between heartbeats. */
+  /**
+   * What ends a call that told nothing must not end a watch, which nothing new may keep silent
+   * between heartbeats.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void watchThatHasToldSomethingIsCutOnlyOnceItIsSilent(boolean heartbeat) throws Exception {
-    try (FakeServer server = new FakeServer((request, connection, out) -> {
-      FakeServer.write(out, HEAD);
-      chunk(out, heartbeat ? "\n" : list(8, true));
-    })) {
+    try (FakeServer server =
+        new FakeServer(
+            (request, connection, out) -> {
+              FakeServer.write(out, HEAD);
+              chunk(out, heartbeat ? "\n" : list(8, true));
+            })) {
       clocked(server.address());
       TestNode.until(() -> clock.untilNext() == SILENCE);
       if (!heartbeat) {
@@ -230,13 +261,15 @@
   @Test
   void longFirstListIsNotCutAsLongAsMoreOfItComes() throws Exception {
     Semaphore more = new Semaphore(0);
-    try (FakeServer server = new FakeServer((request, connection, out) -> {
-      FakeServer.write(out, HEAD);
-      for (String part : list(8, true).split("(?<=,)")) {
-        more.acquire();
-        chunk(out, part);
-      }
-    })) {
+    try (FakeServer server =
+        new FakeServer(
+            (request, connection, out) -> {
+              FakeServer.write(out, HEAD);
+              for (String part : list(8, true).split("(?<=,)")) {
+                more.acquire();
+                chunk(out, part);
+              }
+            })) {
       clocked(server.address());
       TestNode.until(() -> server.requests.size() == 1);
       for (int part = 0; part < 2; part++) {
@@ -250,18 +283,23 @@
     }
   }
 
-  /** Guards the drain rule: a first list that trickles for ever would be no failure and tell nothing. */
+  /**
+   * Guards the drain rule: a first list that trickles for ever would be no failure and tell
+   * nothing.
+   */
   @Test
   void firstListThatNeverEndsIsCutThoughMoreOfItComes() throws Exception {
     Semaphore more = new Semaphore(0);
-    try (FakeServer server = new FakeServer((request, connection, out) -> {
-      FakeServer.write(out, HEAD);
-      chunk(out, "{\"snapshot\": \"");
-      while (true) {
-        more.acquire();
-        chunk(out, "x");
-      }
-    })) {
+    try (FakeServer server =
+        new FakeServer(
+            (request, connection, out) -> {
+              FakeServer.write(out, HEAD);
+              chunk(out, "{\"snapshot\": \"");
+              while (true) {
+                more.acquire();
+                chunk(out, "x");
+              }
+            })) {
       clocked(server.address());
       TestNode.until(() -> server.requests.size() == 1);
       long step = CALL / 2;
@@ -281,24 +319,29 @@
     }
   }
 
-  /** Guards the drain rule: heartbeats behind a first list that stopped are white space inside it. */
+  /**
+   * Guards the drain rule: heartbeats behind a first list that stopped are white space inside it.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void firstListThatStopsHalfwayEndsItsCallThoughHeartbeatsGoOn(boolean withHead) throws Exception {
     String part = "{\"index\": 8,\n";
-    try (FakeServer server = new FakeServer((request, connection, out) -> {
-      if (withHead) {
-        FakeServer.write(out, HEAD + Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
-      } else {
-        FakeServer.write(out, HEAD);
-        Thread.sleep(20);
-        chunk(out, part);
-      }
-      while (true) {
-        Thread.sleep(20);
-        chunk(out, "\n");
-      }
-    })) {
+    try (FakeServer server =
+        new FakeServer(
+            (request, connection, out) -> {
+              if (withHead) {
+                FakeServer.write(
+                    out, HEAD + Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
+              } else {
+                FakeServer.write(out, HEAD);
+                Thread.sleep(20);
+                chunk(out, part);
+              }
+              while (true) {
+                Thread.sleep(20);
+                chunk(out, "\n");
+              }
+            })) {
       discovery(server.address(), 500, 60_000);
       assertEquals("failed", next());
       TestNode.until(() -> server.closedByPeer.get() == 1);
@@ -314,16 +357,22 @@
     long margin = 500;
     long backOff = longestBackOffMillis();
     assertTrue(Discovery.SILENCE_MILLIS > 2 * heartbeat, "a heartbeat that is late is no silence");
-    assertTrue(Discovery.CALL_MILLIS > heartbeat, "a first heartbeat that takes its time is no failure");
-    assertTrue(Discovery.SILENCE_MILLIS + backOff <= toldAfterSilence - margin, "silence, back-off " + backOff);
-    assertTrue(Discovery.CALL_MILLIS + backOff <= toldAfterHangup - margin, "call in vain, back-off " + backOff);
+    assertTrue(
+        Discovery.CALL_MILLIS > heartbeat, "a first heartbeat that takes its time is no failure");
+    assertTrue(
+        Discovery.SILENCE_MILLIS + backOff <= toldAfterSilence - margin,
+        "silence, back-off " + backOff);
+    assertTrue(
+        Discovery.CALL_MILLIS + backOff <= toldAfterHangup - margin,
+        "call in vain, back-off " + backOff);
     assertTrue(backOff > 500, "the back-off still grows: " + backOff);
   }
 
   /** What the module waits at most before it asks again, over a run of failures and many seeds. */
   private static long longestBackOffMillis() throws Exception {
-    Settings settings = Decoder.settings(
-        Fields.parse("configuration", TestNode.json(TestNode.nowhere(), 1)).nested("settings"));
+    Settings settings =
+        Decoder.settings(
+            Fields.parse("configuration", TestNode.json(TestNode.nowhere(), 1)).nested("settings"));
     assertTrue(settings.listOnRequest());
     long longest = 0;
     for (long seed = 0; seed < 100; seed++) {
@@ -346,8 +395,10 @@
 
   @Test
   void refusalIsAFailure() throws Exception {
-    try (FakeServer server = new FakeServer((request, connection, out) ->
-        FakeServer.write(out, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
+    try (FakeServer server =
+        new FakeServer(
+            (request, connection, out) ->
+                FakeServer.write(out, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
       discovery(server.address(), 60_000);
       assertEquals("failed", next());
       assertTrue(heard.isEmpty());
@@ -357,10 +408,12 @@
   @ParameterizedTest
   @ValueSource(strings = {"{\"index\":}\n", "{\"index\":8}\n", "nonsense\n", "[{]}\n", "}\n"})
   void malformedListIsAFailure(String text) throws Exception {
-    try (FakeServer server = new FakeServer((request, connection, out) -> {
-      FakeServer.write(out, HEAD);
-      chunk(out, text);
-    })) {
+    try (FakeServer server =
+        new FakeServer(
+            (request, connection, out) -> {
+              FakeServer.write(out, HEAD);
+              chunk(out, text);
+            })) {
       discovery(server.address(), 60_000);
       assertEquals("failed", next());
       TestNode.until(() -> server.closedByPeer.get() == 1);
@@ -374,20 +427,34 @@
     assertEquals("failed", next());
   }
 
-  /** Guards the watch where clients and upstreams hold every descriptor: its end must be told, and on the loop. */
+  /**
+   * Guards the watch where clients and upstreams hold every descriptor: its end must be told, and
+   * on the loop.
+   */
   @Test
   void noDescriptorForASocketIsAFailureAndTheNextCallIsMade() throws Exception {
-    try (FakeServer server = new FakeServer((request, connection, out) -> {
-      FakeServer.write(out, HEAD);
-      chunk(out, list(8, true));
-    })) {
+    try (FakeServer server =
+        new FakeServer(
+            (request, connection, out) -> {
+              FakeServer.write(out, HEAD);
+              chunk(out, list(8, true));
+            })) {
       AtomicInteger left = new AtomicInteger(1);
-      Discovery discovery = new Discovery(loop, () -> {
-        if (left.getAndDecrement() > 0) {
-          throw new ChannelException("too many open files");
-        }
-        return new NioSocketChannel();
-      }, server.address(), 7, 60_000, 60_000, heard::add, () -> heard.add(loop.inEventLoop() ? "failed" : "elsewhere"));
+      Discovery discovery =
+          new Discovery(
+              loop,
+              () -> {
+                if (left.getAndDecrement() > 0) {
+                  throw new ChannelException("too many open files");
+                }
+                return new NioSocketChannel();
+              },
+              server.address(),
+              7,
+              60_000,
+              60_000,
+              heard::add,
+              () -> heard.add(loop.inEventLoop() ? "failed" : "elsewhere"));
       loop.execute(() -> discovery.watch(true));
       assertEquals("failed", next());
       loop.execute(() -> discovery.watch(true));
@@ -397,16 +464,20 @@
 
   @Test
   void moveAsksTheNewOneForAllAtOnceAndIsNobodysFailure() throws Exception {
-    try (FakeServer before = new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD));
-        FakeServer after = new FakeServer((request, connection, out) -> {
-          FakeServer.write(out, HEAD);
-          chunk(out, list(3, true));
-        })) {
+    try (FakeServer before =
+            new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD));
+        FakeServer after =
+            new FakeServer(
+                (request, connection, out) -> {
+                  FakeServer.write(out, HEAD);
+                  chunk(out, list(3, true));
+                })) {
       Discovery discovery = discovery(before.address(), 60_000);
       TestNode.until(() -> before.requests.size() == 1);
       loop.execute(() -> discovery.moveTo(after.address()));
       assertEquals(3, ((HostList) next()).index());
-      assertTrue(after.requests.get(0).startsWith("GET /discovery/hosts?watch=1 "), after.requests.get(0));
+      assertTrue(
+          after.requests.get(0).startsWith("GET /discovery/hosts?watch=1 "), after.requests.get(0));
       TestNode.until(() -> before.closedByPeer.get() == 1);
       loop.execute(() -> discovery.watch(true));
       loop.submit(() -> {}).get();
@@ -417,10 +488,12 @@
 
   @Test
   void moveDuringTheBackOffDoesNotWaitForItsEnd() throws Exception {
-    try (FakeServer after = new FakeServer((request, connection, out) -> {
-      FakeServer.write(out, HEAD);
-      chunk(out, list(3, true));
-    })) {
+    try (FakeServer after =
+        new FakeServer(
+            (request, connection, out) -> {
+              FakeServer.write(out, HEAD);
+              chunk(out, list(3, true));
+            })) {
       Discovery discovery = discovery(TestNode.nowhere(), 60_000);
       assertEquals("failed", next());
       loop.execute(() -> discovery.moveTo(after.address()));
@@ -436,10 +509,11 @@
       assertEquals("failed", next());
       loop.execute(() -> discovery.moveTo(after.address()));
       assertEquals("failed", next());
-      after.behaviour = (request, connection, out) -> {
-        FakeServer.write(out, HEAD);
-        chunk(out, list(3, true));
-      };
+      after.behaviour =
+          (request, connection, out) -> {
+            FakeServer.write(out, HEAD);
+            chunk(out, list(3, true));
+          };
       loop.execute(() -> discovery.watch(true));
       assertEquals(3, ((HostList) next()).index());
     }
@@ -447,16 +521,20 @@
 
   @Test
   void nodeFollowsAnAddressThatMovedAndAsksAgainAfterAFailure() throws Exception {
-    try (FakeServer before = FakeServer.serving("before"); FakeServer after = FakeServer.serving("after");
-        FakeServer server = new FakeServer((request, connection, out) ->
-            FakeServer.write(out, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
+    try (FakeServer before = FakeServer.serving("before");
+        FakeServer after = FakeServer.serving("after");
+        FakeServer server =
+            new FakeServer(
+                (request, connection, out) ->
+                    FakeServer.write(out, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
       TestNode node = new TestNode(server.address(), 1, before);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals("before", client.call(TestClient.look("1", 15_000, "")).body());
-        server.behaviour = (request, connection, out) -> {
-          FakeServer.write(out, HEAD);
-          chunk(out, list(8, false, TestNode.endpoint("s-0", after.address(), "in_service")));
-        };
+        server.behaviour =
+            (request, connection, out) -> {
+              FakeServer.write(out, HEAD);
+              chunk(out, list(8, false, TestNode.endpoint("s-0", after.address(), "in_service")));
+            };
         TestNode.until(() -> before.closedByPeer.get() == 1);
         assertEquals("after", client.call(TestClient.look("2", 15_000, "")).body());
       }
@@ -464,19 +542,31 @@
   }
 
   static Stream<Arguments> crowds() {
-    String[][] crowds = {{IdleClients.NOTHING}, {IdleClients.ASKS_ONCE}, {IdleClients.HALF_A_HEAD},
-        {IdleClients.NOTHING, IdleClients.ASKS_ONCE, IdleClients.HALF_A_HEAD}};
+    String[][] crowds = {
+      {IdleClients.NOTHING},
+      {IdleClients.ASKS_ONCE},
+      {IdleClients.HALF_A_HEAD},
+      {IdleClients.NOTHING, IdleClients.ASKS_ONCE, IdleClients.HALF_A_HEAD}
+    };
     return Stream.of(crowds).flatMap(c -> Stream.of(Arguments.of(true, c), Arguments.of(false, c)));
   }
 
-  /** Discovery falls silent, or ends each watch for a while, as idle clients hold all that clients may have. */
+  /**
+   * Discovery falls silent, or ends each watch for a while, as idle clients hold all that clients
+   * may have.
+   */
   @ParameterizedTest
   @MethodSource("crowds")
-  void watchComesBackAndClientsAreServedThoughIdleOnesFillTheSockets(boolean silent, String[] crowd) throws Exception {
-    try (FakeServer before = FakeServer.serving("before"); FakeServer after = FakeServer.serving("after");
-        FakeServer server = new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD))) {
-      TestNode node = new TestNode(TestNode.json(server.address(), 1, before)
-          .replace("\"sockets\":1024", "\"sockets\":256"));
+  void watchComesBackAndClientsAreServedThoughIdleOnesFillTheSockets(boolean silent, String[] crowd)
+      throws Exception {
+    try (FakeServer before = FakeServer.serving("before");
+        FakeServer after = FakeServer.serving("after");
+        FakeServer server =
+            new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD))) {
+      TestNode node =
+          new TestNode(
+              TestNode.json(server.address(), 1, before)
+                  .replace("\"sockets\":1024", "\"sockets\":256"));
       TestNode.until(() -> server.requests.size() == 1);
       try (IdleClients idle = new IdleClients(node.address, 600, true, crowd)) {
         TestNode.until(() -> idle.ended.get() > 0);
@@ -485,16 +575,24 @@
           server.connections.get(0).close();
           TestNode.until(() -> server.requests.size() > 2);
         }
-        server.behaviour = (request, connection, out) -> {
-          FakeServer.write(out, HEAD);
-          chunk(out, list(8, false, TestNode.endpoint("s-0", after.address(), "in_service")));
-        };
+        server.behaviour =
+            (request, connection, out) -> {
+              FakeServer.write(out, HEAD);
+              chunk(out, list(8, false, TestNode.endpoint("s-0", after.address(), "in_service")));
+            };
         int watches = server.requests.size();
         for (int i = 0; server.requests.size() == watches; i++) {
-          assertEquals(200, answerTo(node, TestClient.look("d" + i, 15_000, "")).status(), "with the list it knows");
+          assertEquals(
+              200,
+              answerTo(node, TestClient.look("d" + i, 15_000, "")).status(),
+              "with the list it knows");
         }
         int[] calls = {0};
-        TestNode.until(() -> answerTo(node, TestClient.look("l" + calls[0]++, 15_000, "")).body().equals("after"));
+        TestNode.until(
+            () ->
+                answerTo(node, TestClient.look("l" + calls[0]++, 15_000, ""))
+                    .body()
+                    .equals("after"));
         assertEquals(200, answerTo(node, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
       }
     }
@@ -512,20 +610,26 @@
   @ParameterizedTest
   @ValueSource(strings = {"pushed", "on_request"})
   void nodeFollowsTheListHoweverTheSettingsSayThatItComes(String mode) throws Exception {
-    try (FakeServer server = new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD))) {
+    try (FakeServer server =
+        new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD))) {
       new TestNode(TestNode.json(server.address(), 1).replace("on_request", mode));
       TestNode.until(() -> server.requests.size() == 1);
-      assertTrue(server.requests.get(0).startsWith("GET /discovery/hosts?watch=1&after=7 "), server.requests.get(0));
+      assertTrue(
+          server.requests.get(0).startsWith("GET /discovery/hosts?watch=1&after=7 "),
+          server.requests.get(0));
     }
   }
 
   @Test
   void upstreamAbsentFromAWholeListGetsNothingMore() throws Exception {
-    try (FakeServer kept = FakeServer.serving("kept"); FakeServer gone = FakeServer.serving("gone");
-        FakeServer server = new FakeServer((request, connection, out) -> {
-          FakeServer.write(out, HEAD);
-          chunk(out, list(8, true, TestNode.endpoint("s-0", kept.address(), "in_service")));
-        })) {
+    try (FakeServer kept = FakeServer.serving("kept");
+        FakeServer gone = FakeServer.serving("gone");
+        FakeServer server =
+            new FakeServer(
+                (request, connection, out) -> {
+                  FakeServer.write(out, HEAD);
+                  chunk(out, list(8, true, TestNode.endpoint("s-0", kept.address(), "in_service")));
+                })) {
       TestNode node = new TestNode(server.address(), 1, kept, gone);
       TestNode.until(() -> server.requests.size() == 1);
       try (TestClient client = new TestClient(node.address)) {
@@ -540,7 +644,8 @@
     try {
       boolean all = true;
       for (int i = 0; i < 20; i++) {
-        String request = TestClient.look("l" + calls[0]++, 15_000, "").replace("Key: k", "Key: k" + i);
+        String request =
+            TestClient.look("l" + calls[0]++, 15_000, "").replace("Key: k", "Key: k" + i);
         all &= client.call(request).body().equals("kept");
       }
       return all;
--- a/src/test/java/pumicekeel/node/DrainTest.java
+++ b/src/test/java/pumicekeel/node/DrainTest.java
@@ -12,12 +12,16 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A planned stop, step by step: each client that is owed an answer gets it, and the rest is closed in the end. */
+/**
+ * A planned stop, step by step: each client that is owed an answer gets it, and the rest is closed
+ * in the end.
+ */
 class DrainTest {
 
   private static final String LOOK = TestClient.look("1", 20_000, "");
 
-  private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+  private final EventLoop loop =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
 
   @AfterEach
   void stop() {
@@ -77,12 +81,15 @@
   @Test
   void inTheEndPartsAreAnsweredSilentOnesClosedAndWhatWasTakenIsServed() throws Exception {
     CountDownLatch held = new CountDownLatch(1);
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      held.await();
-      FakeServer.write(out, FakeServer.ok("fine"));
-    })) {
+    try (FakeServer upstream =
+        new FakeServer(
+            (request, connection, out) -> {
+              held.await();
+              FakeServer.write(out, FakeServer.ok("fine"));
+            })) {
       TestSide side = new TestSide(loop, event -> {}, upstream);
-      try (TestClient part = new TestClient(side.address); TestClient silent = new TestClient(side.address);
+      try (TestClient part = new TestClient(side.address);
+          TestClient silent = new TestClient(side.address);
           TestClient taken = new TestClient(side.address)) {
         taken.send(LOOK);
         TestNode.until(() -> upstream.requests.size() == 1);
--- a/src/test/java/pumicekeel/node/FakeServer.java
+++ b/src/test/java/pumicekeel/node/FakeServer.java
@@ -14,7 +14,9 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A small HTTP server on a loopback port: an upstream or a discovery that behaves as a test wants. */
+/**
+ * A small HTTP server on a loopback port: an upstream or a discovery that behaves as a test wants.
+ */
 final class FakeServer implements Closeable {
 
   /** Answers one request, whose text is given; may write nothing, or close the connection. */
@@ -31,13 +33,14 @@
   FakeServer(Behaviour behaviour) throws IOException {
     this.behaviour = behaviour;
     listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    daemon(() -> {
-      while (true) {
-        Socket connection = listener.accept();
-        connections.add(connection);
-        daemon(() -> serve(connection));
-      }
-    });
+    daemon(
+        () -> {
+          while (true) {
+            Socket connection = listener.accept();
+            connections.add(connection);
+            daemon(() -> serve(connection));
+          }
+        });
   }
 
   /** A server that answers every request with a 200 and this body. */
@@ -59,27 +62,33 @@
   }
 
   private static void daemon(Work work) {
-    Thread thread = new Thread(() -> {
-      try {
-        work.run();
-      } catch (Exception e) {
-        // The test closed this server, or the peer its connection.
-      }
-    });
+    Thread thread =
+        new Thread(
+            () -> {
+              try {
+                work.run();
+              } catch (Exception e) {
+                // The test closed this server, or the peer its connection.
+              }
+            });
     thread.setDaemon(true);
     thread.start();
   }
 
   private void serve(Socket connection) throws Exception {
-    BufferedReader in = new BufferedReader(
-        new InputStreamReader(connection.getInputStream(), StandardCharsets.UTF_8));
+    BufferedReader in =
+        new BufferedReader(
+            new InputStreamReader(connection.getInputStream(), StandardCharsets.UTF_8));
     try {
       for (String line = in.readLine(); line != null; line = in.readLine()) {
         StringBuilder request = new StringBuilder();
         int length = 0;
         for (; line != null && !line.isEmpty(); line = in.readLine()) {
           request.append(line).append('\n');
-          length = line.toLowerCase().startsWith("content-length:") ? Integer.parseInt(line.substring(15).trim()) : length;
+          length =
+              line.toLowerCase().startsWith("content-length:")
+                  ? Integer.parseInt(line.substring(15).trim())
+                  : length;
         }
         request.append('\n');
         for (int i = 0; i < length; i++) {
--- a/src/test/java/pumicekeel/node/IdleClients.java
+++ b/src/test/java/pumicekeel/node/IdleClients.java
@@ -44,33 +44,41 @@
 
   /** How many connections the balancer has ended. */
   final AtomicInteger ended = new AtomicInteger();
+
   private final Client[] clients;
   private final Thread thread;
   private volatile boolean closing;
 
-  /** So many connections, the texts sent in turn, one on each; where they come back, each end is another's start. */
-  IdleClients(InetSocketAddress address, int count, boolean comeBack, String... texts) throws IOException {
+  /**
+   * So many connections, the texts sent in turn, one on each; where they come back, each end is
+   * another's start.
+   */
+  IdleClients(InetSocketAddress address, int count, boolean comeBack, String... texts)
+      throws IOException {
     clients = new Client[count];
     for (int i = 0; i < count; i++) {
       clients[i] = new Client(address, texts[i % texts.length]);
     }
-    thread = new Thread(() -> {
-      try {
-        ByteBuffer scratch = ByteBuffer.allocate(1024);
-        while (!closing) {
-          for (int i = 0; i < count; i++) {
-            if (clients[i] != null && clients[i].ended(scratch)) {
-              clients[i].socket.close();
-              clients[i] = comeBack ? new Client(address, texts[i % texts.length]) : null;
-              ended.incrementAndGet();
-            }
-          }
-          Thread.sleep(PERIOD_MILLIS);
-        }
-      } catch (IOException | InterruptedException e) {
-        // The test is over.
-      }
-    }, "idle clients");
+    thread =
+        new Thread(
+            () -> {
+              try {
+                ByteBuffer scratch = ByteBuffer.allocate(1024);
+                while (!closing) {
+                  for (int i = 0; i < count; i++) {
+                    if (clients[i] != null && clients[i].ended(scratch)) {
+                      clients[i].socket.close();
+                      clients[i] = comeBack ? new Client(address, texts[i % texts.length]) : null;
+                      ended.incrementAndGet();
+                    }
+                  }
+                  Thread.sleep(PERIOD_MILLIS);
+                }
+              } catch (IOException | InterruptedException e) {
+                // The test is over.
+              }
+            },
+            "idle clients");
     thread.setDaemon(true);
     thread.start();
   }
--- a/src/test/java/pumicekeel/node/OutcomeTest.java
+++ b/src/test/java/pumicekeel/node/OutcomeTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What an upstream does and what the client is told. With one attempt and a keyed class, 429 shows an outcome that
- * proves that nothing ran, 502 one that may have run, 200 a whole answer.
+ * What an upstream does and what the client is told. With one attempt and a keyed class, 429 shows
+ * an outcome that proves that nothing ran, 502 one that may have run, 200 a whole answer.
  */
 class OutcomeTest {
 
@@ -36,21 +36,45 @@
   static Stream<Arguments> behaviours() {
     return Stream.of(
         row("whole answer", 200, says(FakeServer.ok("fine"))),
-        row("chunked answer", 200, says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n")),
-        row("after an interim answer", 200, says("HTTP/1.1 100 Continue\r\n\r\n" + FakeServer.ok("fine"))),
-        row("no reason given", 200, says("HTTP/1.1 103 \r\n\r\n" + FakeServer.ok("fine").replace(" OK", " "))),
+        row(
+            "chunked answer",
+            200,
+            says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n")),
+        row(
+            "after an interim answer",
+            200,
+            says("HTTP/1.1 100 Continue\r\n\r\n" + FakeServer.ok("fine"))),
+        row(
+            "no reason given",
+            200,
+            says("HTTP/1.1 103 \r\n\r\n" + FakeServer.ok("fine").replace(" OK", " "))),
         row("error", FAILED, says("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")),
-        row("turned away", REFUSED, says("HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
-        row("over already", REFUSED, says("HTTP/1.1 504 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
+        row(
+            "turned away",
+            REFUSED,
+            says("HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
+        row(
+            "over already",
+            REFUSED,
+            says("HTTP/1.1 504 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
         row("bare 503", FAILED, says("HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n")),
-        row("mark on an error", FAILED, says("HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
+        row(
+            "mark on an error",
+            FAILED,
+            says("HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
         row("ended with no answer", FAILED, saysAndEnds("")),
-        row("reset", FAILED, (request, connection, out) -> {
-          connection.setSoLinger(true, 0);
-          connection.close();
-        }),
+        row(
+            "reset",
+            FAILED,
+            (request, connection, out) -> {
+              connection.setSoLinger(true, 0);
+              connection.close();
+            }),
         row("cut short", FAILED, saysAndEnds("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine")),
-        row("cut short in chunks", FAILED, saysAndEnds("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n")),
+        row(
+            "cut short in chunks",
+            FAILED,
+            saysAndEnds("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n")),
         row("no length", FAILED, saysAndEnds("HTTP/1.1 200 OK\r\n\r\nfine")),
         row("malformed", FAILED, says("nonsense\r\n\r\n")),
         row("too large", FAILED, says(FakeServer.ok("x".repeat(70_000)))));
@@ -58,7 +82,8 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("behaviours")
-  void clientIsToldTheTruth(String name, int status, FakeServer.Behaviour behaviour) throws Exception {
+  void clientIsToldTheTruth(String name, int status, FakeServer.Behaviour behaviour)
+      throws Exception {
     try (FakeServer upstream = new FakeServer(behaviour)) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
@@ -107,19 +132,25 @@
       }
       String first = upstream.requests.get(0).toLowerCase();
       assertTrue(first.startsWith("post /order http/1.1\n"), first);
-      assertTrue(first.contains("x-correlation-id: 1\n") && first.contains("idempotency-key: once-1\n"), first);
+      assertTrue(
+          first.contains("x-correlation-id: 1\n") && first.contains("idempotency-key: once-1\n"),
+          first);
       assertTrue(first.contains("x-time-left-ms: ") && first.endsWith("\n\nbody"), first);
-      assertTrue(upstream.requests.get(1).startsWith("GET /look/a?b=c HTTP/1.1\n"), upstream.requests.get(1));
+      assertTrue(
+          upstream.requests.get(1).startsWith("GET /look/a?b=c HTTP/1.1\n"),
+          upstream.requests.get(1));
       assertEquals(1, upstream.connections.size());
     }
   }
 
   @Test
   void connectionThatThePeerClosedIsNotWrittenTo() throws Exception {
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      FakeServer.write(out, FakeServer.ok("fine"));
-      connection.shutdownOutput();
-    })) {
+    try (FakeServer upstream =
+        new FakeServer(
+            (request, connection, out) -> {
+              FakeServer.write(out, FakeServer.ok("fine"));
+              connection.shutdownOutput();
+            })) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         for (int i = 1; i <= 3; i++) {
--- a/src/test/java/pumicekeel/node/PeerSocketTest.java
+++ b/src/test/java/pumicekeel/node/PeerSocketTest.java
@@ -32,24 +32,25 @@
   /** Guards the loop: one peer that sends on and on must not keep it. */
   @Test
   void noMoreIsSkippedThanWasAskedFor() throws Exception {
-    connected((socket, peer) -> {
-      assertEquals(0, socket.skip(10));
-      peer.getOutputStream().write(new byte[10_000]);
-      int first = socket.skip(1);
-      while (first == 0) {
-        first = socket.skip(1);
-      }
-      assertEquals(1, first);
-      int skipped = first;
-      while (skipped < 9_990) {
-        int more = socket.skip(Math.min(5_000, 9_990 - skipped));
-        assertTrue(more >= 0 && more <= 5_000, "skipped " + more);
-        skipped += more;
-      }
-      assertEquals(9_990, skipped);
-      assertEquals(7, socket.skip(7));
-      assertEquals(3, socket.skip(100));
-      assertEquals(0, socket.skip(100));
-    });
+    connected(
+        (socket, peer) -> {
+          assertEquals(0, socket.skip(10));
+          peer.getOutputStream().write(new byte[10_000]);
+          int first = socket.skip(1);
+          while (first == 0) {
+            first = socket.skip(1);
+          }
+          assertEquals(1, first);
+          int skipped = first;
+          while (skipped < 9_990) {
+            int more = socket.skip(Math.min(5_000, 9_990 - skipped));
+            assertTrue(more >= 0 && more <= 5_000, "skipped " + more);
+            skipped += more;
+          }
+          assertEquals(9_990, skipped);
+          assertEquals(7, socket.skip(7));
+          assertEquals(3, socket.skip(100));
+          assertEquals(0, socket.skip(100));
+        });
   }
 }
--- a/src/test/java/pumicekeel/node/ProcessTest.java
+++ b/src/test/java/pumicekeel/node/ProcessTest.java
@@ -28,16 +28,24 @@
 /** The program as a process: its start, its end, its exit status. */
 class ProcessTest {
 
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
   private Process process;
   private BufferedReader log;
 
-  /** The program with the configuration in this test's folder, behind what a shell is to do ahead of it, if anything. */
+  /**
+   * The program with the configuration in this test's folder, behind what a shell is to do ahead of
+   * it, if anything.
+   */
   private ProcessBuilder program(String... shell) {
     List<String> command = new ArrayList<>(List.of(shell));
-    command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC", "-cp",
-        System.getProperty("java.class.path"), "pumicekeel.adapter.Main", "serve"));
+    command.addAll(
+        List.of(
+            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+            "-XX:+UseSerialGC",
+            "-cp",
+            System.getProperty("java.class.path"),
+            "pumicekeel.adapter.Main",
+            "serve"));
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().keySet().removeIf(name -> name.startsWith("PROXY_"));
     builder.environment().put("PROXY_CONFIG", folder.resolve("config.json").toString());
@@ -58,7 +66,8 @@
       builder.environment().put(variable[i], variable[i + 1]);
     }
     process = builder.start();
-    log = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+    log =
+        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
   }
 
   private InetSocketAddress address() throws Exception {
@@ -83,13 +92,16 @@
   @Test
   void sigtermAnswersWhatWasTakenAndEndsWithStatusZero() throws Exception {
     CountDownLatch held = new CountDownLatch(1);
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      held.await();
-      FakeServer.write(out, FakeServer.ok("fine"));
-    })) {
+    try (FakeServer upstream =
+        new FakeServer(
+            (request, connection, out) -> {
+              held.await();
+              FakeServer.write(out, FakeServer.ok("fine"));
+            })) {
       start(TestNode.json(TestNode.nowhere(), 1, upstream));
       InetSocketAddress address = address();
-      try (TestClient open = new TestClient(address); TestClient idle = new TestClient(address);
+      try (TestClient open = new TestClient(address);
+          TestClient idle = new TestClient(address);
           TestClient slow = new TestClient(address)) {
         slow.send(TestClient.order("2", 15_000).replace("Length: 4", "Length: 400"));
         idle.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -97,15 +109,20 @@
         TestNode.until(() -> upstream.requests.size() == 1);
         signal("TERM");
         awaitLog(" drains");
-        assertEquals(503, idle.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status(), "clients here are served on");
+        assertEquals(
+            503,
+            idle.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status(),
+            "clients here are served on");
         try (TestClient late = new TestClient(address)) {
           assertEquals(503, late.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
         } catch (IOException e) {
-          // A busy machine came here only after the half second in which clients are still accepted.
+          // A busy machine came here only after the half second in which clients are still
+          // accepted.
           assertTrue(process.isAlive(), "the request that was taken is still open");
         }
         assertTrue(idle.ended(), "an idle connection, in the end");
-        assertEquals(408, slow.read().status(), "a request that has come in part is not waited for");
+        assertEquals(
+            408, slow.read().status(), "a request that has come in part is not waited for");
         held.countDown();
         TestClient.Reply reply = open.read();
         assertEquals("fine", reply.body());
@@ -117,7 +134,8 @@
   }
 
   private void signal(String name) throws Exception {
-    assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
+    assertEquals(
+        0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
   }
 
   private void awaitLog(String part) throws Exception {
@@ -132,9 +150,14 @@
   /** Unhandled, SIGHUP ends a Java process. */
   @Test
   void sighupFollowsTheNewDiscoveryEachTimeAndABadFileChangesNothing() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine"); FakeServer first = new FakeServer((r, c, out) -> {});
-        FakeServer second = new FakeServer((r, c, out) -> {}); FakeServer third = new FakeServer((r, c, out) -> {})) {
-      start(TestNode.json(first.address(), 1, upstream), "PROXY_DISCOVERY", TestNode.text(first.address()));
+    try (FakeServer upstream = FakeServer.serving("fine");
+        FakeServer first = new FakeServer((r, c, out) -> {});
+        FakeServer second = new FakeServer((r, c, out) -> {});
+        FakeServer third = new FakeServer((r, c, out) -> {})) {
+      start(
+          TestNode.json(first.address(), 1, upstream),
+          "PROXY_DISCOVERY",
+          TestNode.text(first.address()));
       InetSocketAddress address = address();
       TestNode.until(() -> first.requests.size() == 1);
       Path file = folder.resolve("config.json");
@@ -158,19 +181,24 @@
   /** Guards against reloads that never come and nobody misses until drains are broken. */
   @Test
   void startWithSighupIgnoredFollowsTheFileInstead() throws Exception {
-    try (FakeServer first = new FakeServer((r, c, out) -> {}); FakeServer second = new FakeServer((r, c, out) -> {});
+    try (FakeServer first = new FakeServer((r, c, out) -> {});
+        FakeServer second = new FakeServer((r, c, out) -> {});
         FakeServer third = new FakeServer((r, c, out) -> {})) {
-      Path file = Files.writeString(folder.resolve("config.json"), TestNode.json(first.address(), 1));
+      Path file =
+          Files.writeString(folder.resolve("config.json"), TestNode.json(first.address(), 1));
       ProcessBuilder builder = program("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
       process = builder.start();
-      log = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+      log =
+          new BufferedReader(
+              new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
       awaitLog("reload: started with SIGHUP ignored");
       address();
       TestNode.until(() -> first.requests.size() == 1);
       Files.writeString(file, TestNode.json(second.address(), 1));
       signal("HUP");
       TestNode.until(() -> second.requests.size() == 1 && first.closedByPeer.get() == 1);
-      Path other = Files.writeString(folder.resolve("other.json"), TestNode.json(third.address(), 1));
+      Path other =
+          Files.writeString(folder.resolve("other.json"), TestNode.json(third.address(), 1));
       Files.move(other, file, StandardCopyOption.REPLACE_EXISTING);
       TestNode.until(() -> third.requests.size() == 1 && second.closedByPeer.get() == 1);
       process.destroy();
@@ -180,36 +208,49 @@
 
   static Stream<Arguments> crowds() {
     String[] all = {IdleClients.NOTHING, IdleClients.ASKS_ONCE, IdleClients.HALF_A_HEAD};
-    return Stream.of(Arguments.of((Object) new String[] {IdleClients.NOTHING}),
-        Arguments.of((Object) new String[] {IdleClients.ASKS_ONCE}), Arguments.of((Object) all));
+    return Stream.of(
+        Arguments.of((Object) new String[] {IdleClients.NOTHING}),
+        Arguments.of((Object) new String[] {IdleClients.ASKS_ONCE}),
+        Arguments.of((Object) all));
   }
 
-  /** All that may come together: idle clients and upstreams at their limits, and discovery that ends each watch. */
+  /**
+   * All that may come together: idle clients and upstreams at their limits, and discovery that ends
+   * each watch.
+   */
   @ParameterizedTest
   @MethodSource("crowds")
   void processWithFewDescriptorsKeepsWithinThemAndGoesOn(String[] crowd) throws Exception {
     CountDownLatch held = new CountDownLatch(1);
-    FakeServer.Behaviour watch = (request, connection, out) ->
-        FakeServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    FakeServer.Behaviour watch =
+        (request, connection, out) ->
+            FakeServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     FakeServer[] upstreams = new FakeServer[17];
     for (int i = 0; i < upstreams.length; i++) {
-      upstreams[i] = new FakeServer((request, connection, out) -> {
-        held.await();
-        FakeServer.write(out, FakeServer.ok("fine"));
-      });
+      upstreams[i] =
+          new FakeServer(
+              (request, connection, out) -> {
+                held.await();
+                FakeServer.write(out, FakeServer.ok("fine"));
+              });
     }
     try (FakeServer server = new FakeServer(watch)) {
-      Files.writeString(folder.resolve("config.json"), TestNode.json(server.address(), 1, upstreams)
-          .replace("\"sockets\":1024", "\"sockets\":256"));
+      Files.writeString(
+          folder.resolve("config.json"),
+          TestNode.json(server.address(), 1, upstreams)
+              .replace("\"sockets\":1024", "\"sockets\":256"));
       ProcessBuilder builder = program("sh", "-c", "ulimit -n 256; exec \"$0\" \"$@\"");
       process = builder.redirectOutput(folder.resolve("log").toFile()).start();
       TestNode.until(() -> logged().contains(" serves at /"));
-      String serving = logged().lines().filter(l -> l.contains(" serves at /")).findFirst().orElseThrow();
+      String serving =
+          logged().lines().filter(l -> l.contains(" serves at /")).findFirst().orElseThrow();
       InetSocketAddress address = servedAt(serving);
       TestNode.until(() -> server.requests.size() == 1);
       List<TestClient> asking = new ArrayList<>();
       for (int i = 0; i < 102; i++) {
-        asking.add(new TestClient(address).send(TestClient.look("h" + i, 20_000, "").replace("Key: k", "Key: k" + i)));
+        asking.add(
+            new TestClient(address)
+                .send(TestClient.look("h" + i, 20_000, "").replace("Key: k", "Key: k" + i)));
       }
       try {
         TestNode.until(() -> Stream.of(upstreams).mapToInt(u -> u.requests.size()).sum() == 102);
@@ -217,33 +258,43 @@
         try (IdleClients idle = new IdleClients(address, 600, true, crowd)) {
           server.behaviour = (request, connection, out) -> connection.close();
           server.connections.get(0).close();
-          TestNode.until(() -> {
-            most.accumulateAndGet(descriptors(), Math::max);
-            return server.requests.size() > 3 && idle.ended.get() > 100;
-          });
+          TestNode.until(
+              () -> {
+                most.accumulateAndGet(descriptors(), Math::max);
+                return server.requests.size() > 3 && idle.ended.get() > 100;
+              });
           server.behaviour = watch;
           int watches = server.requests.size();
-          TestNode.until(() -> {
-            most.accumulateAndGet(descriptors(), Math::max);
-            return server.requests.size() > watches;
-          });
+          TestNode.until(
+              () -> {
+                most.accumulateAndGet(descriptors(), Math::max);
+                return server.requests.size() > watches;
+              });
           try (TestClient up = new TestClient(address)) {
             assertEquals(200, up.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
           }
           held.countDown();
-          // Each is answered at once; refused as long as the held ones hold all room, or as their time is the mean.
+          // Each is answered at once; refused as long as the held ones hold all room, or as their
+          // time is the mean.
           int[] next = {0};
-          TestNode.until(() -> {
-            try (TestClient client = new TestClient(address)) {
-              return client.call(TestClient.look("n" + next[0]++, 15_000, "")).body().equals("fine");
-            } catch (IOException e) {
-              throw new AssertionError("a new client was not answered", e);
-            }
-          });
-          assertTrue(most.get() > 217 && most.get() < 256, "descriptors in use at the worst: " + most);
+          TestNode.until(
+              () -> {
+                try (TestClient client = new TestClient(address)) {
+                  return client
+                      .call(TestClient.look("n" + next[0]++, 15_000, ""))
+                      .body()
+                      .equals("fine");
+                } catch (IOException e) {
+                  throw new AssertionError("a new client was not answered", e);
+                }
+              });
+          assertTrue(
+              most.get() > 217 && most.get() < 256, "descriptors in use at the worst: " + most);
           assertFalse(logged().contains("Too many open files"), logged());
           for (TestClient client : asking) {
-            assertTrue(List.of(200, 429).contains(client.read().status()), "served, or its time was up meanwhile");
+            assertTrue(
+                List.of(200, 429).contains(client.read().status()),
+                "served, or its time was up meanwhile");
           }
           process.destroy();
           assertEquals(0, status());
@@ -275,15 +326,25 @@
   @Test
   void badConfigurationIsOnePlainLineAndStatusTwo() throws Exception {
     String good = TestNode.json(TestNode.nowhere(), 1);
-    for (String bad : new String[] {null, "", "{", "{}", good.replace("8c1f30d27a5be964", "seed"),
-        good.replace("127.0.0.1:0", "localhost:0"), good.replace("127.0.0.1:0", "127.0.0.1:99999"),
-        good.replace("\"aim-ns\":2000000000", "\"aim-ns\":0"), good.replace("\"sockets\":1024", "\"sockets\":0"),
-        good.replace("\"sockets\":1024", "\"sockets\":5000000000")}) {
+    for (String bad :
+        new String[] {
+          null,
+          "",
+          "{",
+          "{}",
+          good.replace("8c1f30d27a5be964", "seed"),
+          good.replace("127.0.0.1:0", "localhost:0"),
+          good.replace("127.0.0.1:0", "127.0.0.1:99999"),
+          good.replace("\"aim-ns\":2000000000", "\"aim-ns\":0"),
+          good.replace("\"sockets\":1024", "\"sockets\":0"),
+          good.replace("\"sockets\":1024", "\"sockets\":5000000000")
+        }) {
       start(bad);
       assertEquals(2, status(), bad);
       String[] lines = log.lines().toArray(String[]::new);
       assertEquals(1, lines.length, String.join("\n", lines));
-      assertTrue(lines[0].startsWith("configuration: ") && !lines[0].contains("Exception in"), lines[0]);
+      assertTrue(
+          lines[0].startsWith("configuration: ") && !lines[0].contains("Exception in"), lines[0]);
     }
   }
 }
--- a/src/test/java/pumicekeel/node/RoundedEventLoopTest.java
+++ b/src/test/java/pumicekeel/node/RoundedEventLoopTest.java
@@ -17,14 +17,18 @@
   private static final int TIMERS = 50;
   private static final long TIMER_NANOS = 2_300_000L;
 
-  /** Guards the core: rounds that find nothing to do until a timer is due, hundreds of them for each timer. */
+  /**
+   * Guards the core: rounds that find nothing to do until a timer is due, hundreds of them for each
+   * timer.
+   */
   @Test
   void noRoundsAreSpentOnWaitingForATimer() throws Exception {
     AtomicInteger rounds = new AtomicInteger();
-    SelectStrategy counting = (selectNow, tasks) -> {
-      rounds.incrementAndGet();
-      return tasks ? selectNow.get() : SelectStrategy.SELECT;
-    };
+    SelectStrategy counting =
+        (selectNow, tasks) -> {
+          rounds.incrementAndGet();
+          return tasks ? selectNow.get() : SelectStrategy.SELECT;
+        };
     RoundedEventLoop loop =
         new RoundedEventLoop(NioIoHandler.newFactory(SelectorProvider.provider(), () -> counting));
     try {
@@ -38,27 +42,32 @@
   }
 
   private static void next(RoundedEventLoop loop, CountDownLatch fired) {
-    loop.schedule(() -> {
-      fired.countDown();
-      if (fired.getCount() > 0) {
-        next(loop, fired);
-      }
-    }, TIMER_NANOS, TimeUnit.NANOSECONDS);
+    loop.schedule(
+        () -> {
+          fired.countDown();
+          if (fired.getCount() > 0) {
+            next(loop, fired);
+          }
+        },
+        TIMER_NANOS,
+        TimeUnit.NANOSECONDS);
   }
 
   @Test
   void waitIsWholeMillisecondsAndNoShorterThanTheTimers() throws Exception {
     RoundedEventLoop loop = new RoundedEventLoop(NioIoHandler.newFactory());
     try {
-      loop.submit(() -> {
-        long before = System.nanoTime();
-        loop.schedule(() -> {}, 1, TimeUnit.HOURS);
-        for (int i = 0; i < 3; i++) {
-          long wait = loop.delayNanos(before + i);
-          assertEquals(0, wait % 1_000_000);
-          assertTrue(wait >= TimeUnit.HOURS.toNanos(1) - i, "waits " + wait);
-        }
-      }).sync();
+      loop.submit(
+              () -> {
+                long before = System.nanoTime();
+                loop.schedule(() -> {}, 1, TimeUnit.HOURS);
+                for (int i = 0; i < 3; i++) {
+                  long wait = loop.delayNanos(before + i);
+                  assertEquals(0, wait % 1_000_000);
+                  assertTrue(wait >= TimeUnit.HOURS.toNanos(1) - i, "waits " + wait);
+                }
+              })
+          .sync();
     } finally {
       loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
--- a/src/test/java/pumicekeel/node/SpoiltAnswerTest.java
+++ b/src/test/java/pumicekeel/node/SpoiltAnswerTest.java
@@ -23,18 +23,33 @@
     return Arguments.of(name, answer);
   }
 
-  /** All leave the connection open and silent: only a close on the balancer's side shows that they were seen. */
+  /**
+   * All leave the connection open and silent: only a close on the balancer's side shows that they
+   * were seen.
+   */
   static Stream<Arguments> spoilt() {
     return Stream.of(
         row("noise without a line's end", "\u0001\u0002noise"),
         row("3 GB announced", "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nfine"),
         row("two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nfine"),
-        row("two lengths in 1.0", "HTTP/1.0 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nfine"),
-        row("length and chunks",
-            "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"),
-        row("a line without a colon", "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nfine"),
+        row(
+            "two lengths in 1.0",
+            "HTTP/1.0 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nfine"),
+        row(
+            "length and chunks",
+            "HTTP/1.1 200 OK\r\n"
+                + "Content-Length: 4\r\n"
+                + "Transfer-Encoding: chunked\r\n\r\n"
+                + "4\r\n"
+                + "fine\r\n"
+                + "0\r\n\r\n"),
+        row(
+            "a line without a colon",
+            "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nfine"),
         row("a blank ahead of a colon", "HTTP/1.1 200 OK\r\nContent-Length : 4\r\n\r\nfine"),
-        row("another coding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"),
+        row(
+            "another coding",
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"),
         row("lines ended by LF alone", "HTTP/1.1 200 OK\nContent-Length: 4\n\nfine"),
         row("neither length nor chunks", "HTTP/1.1 200 OK\r\n\r\nfine"),
         row("another protocol", "HTTP/1.1 101 S\r\nUpgrade: x\r\n\r\nfine"),
@@ -46,13 +61,15 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("spoilt")
-  void spoiltAnswerIsAFailureAtOnceAndItsConnectionIsClosed(String name, String answer) throws Exception {
+  void spoiltAnswerIsAFailureAtOnceAndItsConnectionIsClosed(String name, String answer)
+      throws Exception {
     try (FakeServer upstream = new FakeServer(says(answer))) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         long start = System.nanoTime();
         assertEquals(FAILED, client.call(TestClient.order("1", 20_000)).status());
-        assertTrue(System.nanoTime() - start < 15_000_000_000L, "long before the request's time is up");
+        assertTrue(
+            System.nanoTime() - start < 15_000_000_000L, "long before the request's time is up");
         TestNode.until(() -> upstream.closedByPeer.get() == 1);
       }
     }
@@ -68,12 +85,15 @@
   @ParameterizedTest(name = "{0}")
   @MethodSource("surplus")
   void whatComesBehindAnAnswerIsNeverTheNextOnes(String name, String behind) throws Exception {
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      String body = request.contains("X-Correlation-Id: 1\n") ? "mine" : "next";
-      FakeServer.write(out, FakeServer.ok(body) + (body.equals("mine") ? behind : ""));
-    })) {
+    try (FakeServer upstream =
+        new FakeServer(
+            (request, connection, out) -> {
+              String body = request.contains("X-Correlation-Id: 1\n") ? "mine" : "next";
+              FakeServer.write(out, FakeServer.ok(body) + (body.equals("mine") ? behind : ""));
+            })) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
-      try (TestClient first = new TestClient(node.address); TestClient second = new TestClient(node.address)) {
+      try (TestClient first = new TestClient(node.address);
+          TestClient second = new TestClient(node.address)) {
         assertEquals("mine", first.call(TestClient.order("1", 15_000)).body());
         assertEquals("next", second.call(TestClient.order("2", 15_000)).body());
         assertEquals(2, upstream.connections.size(), "the first connection is of no further use");
@@ -85,11 +105,13 @@
   @Test
   void whatComesOnAnIdleConnectionClosesIt() throws Exception {
     CountDownLatch answered = new CountDownLatch(1);
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      FakeServer.write(out, FakeServer.ok("fine"));
-      answered.await();
-      FakeServer.write(out, "H");
-    })) {
+    try (FakeServer upstream =
+        new FakeServer(
+            (request, connection, out) -> {
+              FakeServer.write(out, FakeServer.ok("fine"));
+              answered.await();
+              FakeServer.write(out, "H");
+            })) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals("fine", client.call(TestClient.order("1", 15_000)).body());
@@ -102,12 +124,20 @@
 
   @Test
   void interimAnswersAndAnUnreadableReportSpoilNothing() throws Exception {
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      FakeServer.write(out, "HTTP/1.1 103 E\r\nLink: x\r\n\r\n");
-      // Longer than an answer may take from its first byte to its last: an interim one is not its first byte.
-      Thread.sleep(600);
-      FakeServer.write(out, "HTTP/1.1 200 OK\r\nX-Backend-Load: inflight==;7,,\r\nContent-Length: 4\r\n\r\nfine");
-    })) {
+    try (FakeServer upstream =
+        new FakeServer(
+            (request, connection, out) -> {
+              FakeServer.write(out, "HTTP/1.1 103 E\r\nLink: x\r\n\r\n");
+              // Longer than an answer may take from its first byte to its last: an interim one is
+              // not its first byte.
+              Thread.sleep(600);
+              FakeServer.write(
+                  out,
+                  "HTTP/1.1 200 OK\r\n"
+                      + "X-Backend-Load: inflight==;7,,\r\n"
+                      + "Content-Length: 4\r\n\r\n"
+                      + "fine");
+            })) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals("fine", client.call(TestClient.order("1", 15_000)).body());
--- a/src/test/java/pumicekeel/node/TestClient.java
+++ b/src/test/java/pumicekeel/node/TestClient.java
@@ -40,7 +40,8 @@
     int at = lower.indexOf("content-length:") + 15;
     byte[] body = new byte[Integer.parseInt(lower.substring(at, lower.indexOf('\r', at)).trim())];
     in.readFully(body);
-    return new Reply(Integer.parseInt(lower.substring(9, 12)), lower, new String(body, StandardCharsets.UTF_8));
+    return new Reply(
+        Integer.parseInt(lower.substring(9, 12)), lower, new String(body, StandardCharsets.UTF_8));
   }
 
   Reply call(String text) throws IOException {
@@ -48,8 +49,9 @@
   }
 
   /**
-   * Ends the connection, by a reset or by an end behind what was sent. Waits until that lies in the peer's socket: a busy
-   * machine may deliver later than it sends, and a loop that is stopped would go on ahead of it.
+   * Ends the connection, by a reset or by an end behind what was sent. Waits until that lies in the
+   * peer's socket: a busy machine may deliver later than it sends, and a loop that is stopped would
+   * go on ahead of it.
    */
   void leave(boolean reset) throws IOException {
     // The close of one that lingers is over once the peer's side has taken its end, read or not.
@@ -89,14 +91,25 @@
 
   /** A request of class "look" (safe) with these further header lines, each ended by CRLF. */
   static String look(String id, long leftMillis, String more) {
-    return "GET /look/a?b=c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + id + "\r\nX-Service-Class: look\r\n"
-        + "X-Account: acme\r\nX-Session-Key: k\r\nX-Time-Left-Ms: " + leftMillis + "\r\n" + more + "\r\n";
+    return "GET /look/a?b=c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: "
+        + id
+        + "\r\nX-Service-Class: look\r\n"
+        + "X-Account: acme\r\nX-Session-Key: k\r\nX-Time-Left-Ms: "
+        + leftMillis
+        + "\r\n"
+        + more
+        + "\r\n";
   }
 
   /** A request of class "order" (keyed, dropped within a cell) with a body. */
   static String order(String id, long leftMillis) {
-    return "POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + id + "\r\nX-Service-Class: order\r\n"
-        + "X-Account: acme\r\nX-Session-Key: k\r\nX-Time-Left-Ms: " + leftMillis
-        + "\r\nIdempotency-Key: once-" + id + "\r\nContent-Length: 4\r\n\r\nbody";
+    return "POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: "
+        + id
+        + "\r\nX-Service-Class: order\r\n"
+        + "X-Account: acme\r\nX-Session-Key: k\r\nX-Time-Left-Ms: "
+        + leftMillis
+        + "\r\nIdempotency-Key: once-"
+        + id
+        + "\r\nContent-Length: 4\r\n\r\nbody";
   }
 }
--- a/src/test/java/pumicekeel/node/TestNode.java
+++ b/src/test/java/pumicekeel/node/TestNode.java
@@ -22,10 +22,17 @@
 
   TestNode(String configuration) throws Exception {
     Fields f = Fields.parse("configuration", configuration);
-    node = new Node(new Configuration("n0", Configuration.address("listen", f.text("listen")),
-        Configuration.address("discovery", f.text("discovery")), 1,
-        (int) f.nested("limits").integer("sockets"), HostList.of(f.nested("known")),
-        Decoder.settings(f.nested("settings"))), () -> {});
+    node =
+        new Node(
+            new Configuration(
+                "n0",
+                Configuration.address("listen", f.text("listen")),
+                Configuration.address("discovery", f.text("discovery")),
+                1,
+                (int) f.nested("limits").integer("sockets"),
+                HostList.of(f.nested("known")),
+                Decoder.settings(f.nested("settings"))),
+            () -> {});
     address = node.start();
     until(() -> up() == 200);
   }
@@ -42,27 +49,36 @@
   static String json(InetSocketAddress discovery, int maxAttempts, FakeServer... upstreams) {
     StringBuilder known = new StringBuilder();
     for (int i = 0; i < upstreams.length; i++) {
-      known.append(i == 0 ? "" : ",").append(endpoint("s-" + i, upstreams[i].address(), "in_service"));
+      known
+          .append(i == 0 ? "" : ",")
+          .append(endpoint("s-" + i, upstreams[i].address(), "in_service"));
     }
     return """
-        {"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
-         "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
-         "known":{"index":7,"snapshot":true,"endpoints":[%s]},
-         "settings":{"categories":[
-            {"name":"look","effect":"idempotent","aim-ns":2000000000,"deadline-ns":20000000000},
-            {"name":"order","effect":"deduplicated","dedup-scope":"cell","window-ns":2000000000,
-             "aim-ns":2000000000,"deadline-ns":20000000000}],
-          "projects":[{"name":"acme","portion":1.0,"quota-per-s":1000.0}],"registry-mode":"on_request",
-          "limits":{"cancel":true,"retry-after":true,"max-retry-after-ns":2000000000,"max-attempts":%d,
-           "connect-timeout-ns":5000000000,"conn-idle-ns":60000000000},
-          "contract":{"drain-grace-ns":2000000000,"answer-slack-ns":8000000,"cold-from":0.3,
-           "overload-for-ns":3000000000,"fall-multiple":3.0}}}
-        """.formatted(text(discovery), known, maxAttempts);
+{"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
+ "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
+ "known":{"index":7,"snapshot":true,"endpoints":[%s]},
+ "settings":{"categories":[
+    {"name":"look","effect":"idempotent","aim-ns":2000000000,"deadline-ns":20000000000},
+    {"name":"order","effect":"deduplicated","dedup-scope":"cell","window-ns":2000000000,
+     "aim-ns":2000000000,"deadline-ns":20000000000}],
+  "projects":[{"name":"acme","portion":1.0,"quota-per-s":1000.0}],"registry-mode":"on_request",
+  "limits":{"cancel":true,"retry-after":true,"max-retry-after-ns":2000000000,"max-attempts":%d,
+   "connect-timeout-ns":5000000000,"conn-idle-ns":60000000000},
+  "contract":{"drain-grace-ns":2000000000,"answer-slack-ns":8000000,"cold-from":0.3,
+   "overload-for-ns":3000000000,"fall-multiple":3.0}}}
+"""
+        .formatted(text(discovery), known, maxAttempts);
   }
 
   static String endpoint(String name, InetSocketAddress address, String status) {
-    return "{\"name\":\"" + name + "\",\"address\":\"" + text(address) + "\",\"zone\":\"a\",\"type\":\"t\",\"group\":1,"
-        + "\"status\":\"" + status + "\",\"weight\":1.0,\"since_ms\":0}";
+    return "{\"name\":\""
+        + name
+        + "\",\"address\":\""
+        + text(address)
+        + "\",\"zone\":\"a\",\"type\":\"t\",\"group\":1,"
+        + "\"status\":\""
+        + status
+        + "\",\"weight\":1.0,\"since_ms\":0}";
   }
 
   static String text(InetSocketAddress address) {
--- a/src/test/java/pumicekeel/node/TestSide.java
+++ b/src/test/java/pumicekeel/node/TestSide.java
@@ -25,8 +25,10 @@
   static final int MOST = 100;
 
   final InetSocketAddress address;
+
   /** What the core found wrong with the module's actions. */
   final Queue<RuntimeException> defects = new ConcurrentLinkedQueue<>();
+
   private final EventLoop loop;
   private final BalancerCore core;
   private final ClientSide side;
@@ -37,31 +39,47 @@
   }
 
   /** As changed from the usual configuration. */
-  TestSide(EventLoop loop, Consumer<Event> heard, UnaryOperator<String> change, FakeServer... upstreams)
+  TestSide(
+      EventLoop loop, Consumer<Event> heard, UnaryOperator<String> change, FakeServer... upstreams)
       throws Exception {
     this.loop = loop;
-    Fields f = Fields.parse("configuration", change.apply(TestNode.json(TestNode.nowhere(), 3, upstreams)));
+    Fields f =
+        Fields.parse(
+            "configuration", change.apply(TestNode.json(TestNode.nowhere(), 3, upstreams)));
     var settings = Decoder.settings(f.nested("settings"));
     AdaptiveBalancer module = new AdaptiveBalancer(settings, 1);
-    core = new BalancerCore(settings, (now, event, out) -> {
-      heard.accept(event);
-      module.handle(now, event, out);
-    }, new Clock(), loop, new LoopLag(loop), new ConnectionPool(loop, 5_000_000_000L, 60_000_000_000L, 100),
-        defects::add);
+    core =
+        new BalancerCore(
+            settings,
+            (now, event, out) -> {
+              heard.accept(event);
+              module.handle(now, event, out);
+            },
+            new Clock(),
+            loop,
+            new LoopLag(loop),
+            new ConnectionPool(loop, 5_000_000_000L, 60_000_000_000L, 100),
+            defects::add);
     side = new ClientSide(loop, settings, core, MOST, null);
     HostList known = HostList.of(f.nested("known"));
-    on(() -> {
-      core.start(known, watch -> {});
-      side.setReady();
-      return null;
-    });
+    on(
+        () -> {
+          core.start(known, watch -> {});
+          side.setReady();
+          return null;
+        });
     address = side.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
   }
 
-  /** The list names this upstream anew, as s- and this number; done once the loop has come to it. */
+  /**
+   * The list names this upstream anew, as s- and this number; done once the loop has come to it.
+   */
   Future<?> list(int number, FakeServer upstream, State state) {
     Listed listed = new Listed(HostList.idOf("s-" + number), "a", 1, state, 0, 1);
-    return loop.submit(() -> core.news(new HostList(8, false, List.of(new HostList.Host(upstream.address(), listed)))));
+    return loop.submit(
+        () ->
+            core.news(
+                new HostList(8, false, List.of(new HostList.Host(upstream.address(), listed)))));
   }
 
   int open() {
@@ -74,24 +92,27 @@
   }
 
   void drain() {
-    on(() -> {
-      side.drain();
-      return null;
-    });
+    on(
+        () -> {
+          side.drain();
+          return null;
+        });
   }
 
   void closeIdle() {
-    on(() -> {
-      side.closeIdle();
-      return null;
-    });
+    on(
+        () -> {
+          side.closeIdle();
+          return null;
+        });
   }
 
   void endUntaken() {
-    on(() -> {
-      side.endUntaken();
-      return null;
-    });
+    on(
+        () -> {
+          side.endUntaken();
+          return null;
+        });
   }
 
   private <T> T on(Callable<T> work) {
--- a/src/test/java/pumicekeel/node/UpstreamTableTest.java
+++ b/src/test/java/pumicekeel/node/UpstreamTableTest.java
@@ -20,7 +20,8 @@
 /** What is remembered of upstreams that come and go all day. */
 class UpstreamTableTest {
 
-  private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+  private final EventLoop loop =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   private final UpstreamTable table =
       new UpstreamTable(new ConnectionPool(loop, 1_000_000_000L, 60_000_000_000L, 10));
 
--- a/src/test/java/pumicekeel/node/WarmUpTest.java
+++ b/src/test/java/pumicekeel/node/WarmUpTest.java
@@ -21,7 +21,8 @@
 
   private static final long STALL_NANOS = 15_000_000L;
 
-  private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+  private final EventLoop loop =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   private volatile boolean warm;
 
   @AfterEach
@@ -31,7 +32,7 @@
 
   /** As on a core of which others have most. */
   private void stall() {
-    for (long end = System.nanoTime() + STALL_NANOS; System.nanoTime() < end;) {
+    for (long end = System.nanoTime() + STALL_NANOS; System.nanoTime() < end; ) {
       LockSupport.parkNanos(end - System.nanoTime());
     }
     if (!warm) {
@@ -45,17 +46,33 @@
     var settings = Decoder.settings(f.nested("settings"));
     LoopLag lag = new LoopLag(loop);
     ConnectionPool pool = new ConnectionPool(loop, 1_000_000_000L, 60_000_000_000L, 10);
-    BalancerCore core = new BalancerCore(settings, new AdaptiveBalancer(settings, 1), new Clock(), loop, lag, pool,
-        defect -> {});
+    BalancerCore core =
+        new BalancerCore(
+            settings,
+            new AdaptiveBalancer(settings, 1),
+            new Clock(),
+            loop,
+            lag,
+            pool,
+            defect -> {});
     String path = WarmUp.newPath();
-    InetSocketAddress address = new ClientSide(loop, settings, core, 100, path)
-        .listen(new InetSocketAddress("127.0.0.1", 0));
+    InetSocketAddress address =
+        new ClientSide(loop, settings, core, 100, path)
+            .listen(new InetSocketAddress("127.0.0.1", 0));
     BlockingQueue<Integer> made = new LinkedBlockingQueue<>();
     loop.execute(this::stall);
-    loop.execute(() -> WarmUp.run(loop, lag, address, path, settings, requests -> {
-      warm = true;
-      made.add(requests);
-    }));
+    loop.execute(
+        () ->
+            WarmUp.run(
+                loop,
+                lag,
+                address,
+                path,
+                settings,
+                requests -> {
+                  warm = true;
+                  made.add(requests);
+                }));
     int requests = made.poll(60, TimeUnit.SECONDS);
     assertTrue(requests >= WarmUp.REQUESTS, "made " + requests);
   }
