--- a/src/main/java/pumicekeel/adapter/Main.java
+++ b/src/main/java/loadbalancer/CommandLine.java
@@ -1,14 +1,16 @@
-package pumicekeel.adapter;
+package loadbalancer;
 
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.PrintStream;
-import pumicekeel.node.Node;
+import loadbalancer.config.WireFormatException;
+import loadbalancer.proxy.lifecycle.ProxyServer;
+import loadbalancer.simulator.SimulatorSession;
 
 /** Entry point of both programs: the real balancer and the wire adapter. */
-public final class Main {
+public final class CommandLine {
 
-  private Main() {}
+  private CommandLine() {}
 
   /**
    * Runs {@code serve}: a balancer on sockets, until SIGTERM; {@code rehearse}: its start alone; or
@@ -16,10 +18,10 @@
    */
   public static void main(String[] args) throws IOException, InterruptedException {
     if (args.length == 1 && args[0].equals("serve")) {
-      System.exit(Node.serve(System.getenv(), System.err));
+      System.exit(ProxyServer.serve(System.getenv(), System.err));
     }
     if (args.length == 1 && args[0].equals("rehearse")) {
-      System.exit(Node.rehearse(System.getenv()));
+      System.exit(ProxyServer.rehearse(System.getenv()));
     }
     System.exit(run(args, System.in, System.out, System.err));
   }
@@ -30,7 +32,7 @@
   static int run(String[] args, InputStream in, PrintStream out, PrintStream err)
       throws IOException {
     if (args.length != 1 || !args[0].equals("adapter")) {
-      err.println("usage: java -jar pumicekeel.jar serve|rehearse|adapter");
+      err.println("usage: java -jar load-balancer.jar serve|rehearse|adapter");
       err.println(
           "  serve     balance on sockets as the PROXY_ variables and their configuration file"
               + " say");
@@ -42,9 +44,9 @@
       return 2;
     }
     try {
-      new Link(in, out).run();
+      new SimulatorSession(in, out).run();
       return 0;
-    } catch (WireException e) {
+    } catch (WireFormatException e) {
       err.println(e.getMessage());
       return 1;
     }
--- a/src/main/java/pumicekeel/adapter/Fields.java
+++ b/src/main/java/loadbalancer/config/JsonObjectReader.java
@@ -1,4 +1,4 @@
-package pumicekeel.adapter;
+package loadbalancer.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -10,27 +10,27 @@
 import java.util.Map;
 
 /** A JSON object of the wire with checked access to its fields. */
-public final class Fields {
+public final class JsonObjectReader {
 
   private static final JsonFactory JSON = new JsonFactory();
 
   private final String path;
   private final Map<?, ?> values;
 
-  Fields(String path, Map<?, ?> values) {
+  JsonObjectReader(String path, Map<?, ?> values) {
     this.path = path;
     this.values = values;
   }
 
   /** Reads a text that holds one JSON object and nothing else. */
-  public static Fields parse(String path, String text) throws IOException {
+  public static JsonObjectReader parse(String path, String text) throws IOException {
     try (JsonParser parser = JSON.createParser(text)) {
       if (parser.nextToken() == null) {
-        throw new WireException("expected a " + path + ", got an empty line");
+        throw new WireFormatException("expected a " + path + ", got an empty line");
       }
       Object value = read(parser);
       if (parser.nextToken() != null) {
-        throw new WireException("expected one value a line, got more");
+        throw new WireFormatException("expected one value a line, got more");
       }
       return object(path, value);
     }
@@ -61,7 +61,7 @@
       }
       case VALUE_NUMBER_INT -> {
         if (in.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
-          throw new WireException("number " + in.getText() + " does not fit 64 bits");
+          throw new WireFormatException("number " + in.getText() + " does not fit 64 bits");
         }
         return in.getLongValue();
       }
@@ -78,15 +78,15 @@
   }
 
   /** Casts a value to an object, or says what was expected. */
-  static Fields object(String path, Object value) {
+  public static JsonObjectReader object(String path, Object value) {
     if (value instanceof Map<?, ?> map) {
-      return new Fields(path, map);
+      return new JsonObjectReader(path, map);
     }
     throw bad(path, "an object", value);
   }
 
-  private static WireException bad(String path, String expected, Object value) {
-    return new WireException(
+  private static WireFormatException bad(String path, String expected, Object value) {
+    return new WireFormatException(
         "field "
             + path
             + ": expected "
@@ -97,15 +97,15 @@
                 : value instanceof String ? "\"" + value + "\"" : value.toString()));
   }
 
-  private WireException bad(String name, String expected) {
+  private WireFormatException bad(String name, String expected) {
     return bad(path + "." + name, expected, values.get(name));
   }
 
-  Map<?, ?> values() {
+  public Map<?, ?> values() {
     return values;
   }
 
-  String path() {
+  public String path() {
     return path;
   }
 
@@ -135,7 +135,7 @@
     throw bad(name, "a number");
   }
 
-  boolean bool(String name) {
+  public boolean bool(String name) {
     if (values.get(name) instanceof Boolean flag) {
       return flag;
     }
@@ -158,18 +158,23 @@
   }
 
   /** A nested object; an empty one where it is absent. */
-  public Fields nested(String name) {
+  public JsonObjectReader nested(String name) {
     return has(name)
         ? object(path + "." + name, values.get(name))
-        : new Fields(path + "." + name, Map.of());
+        : new JsonObjectReader(path + "." + name, Map.of());
+  }
+
+  /** Whether the field holds the whole number 0. */
+  public boolean isZero(String name) {
+    return values.get(name) instanceof Long number && number == 0;
   }
 
   /** An array of objects that has to be there. */
-  public List<Fields> objects(String name) {
+  public List<JsonObjectReader> objects(String name) {
     if (!(values.get(name) instanceof List<?> list)) {
       throw bad(name, "an array");
     }
-    List<Fields> out = new ArrayList<>(list.size());
+    List<JsonObjectReader> out = new ArrayList<>(list.size());
     for (int i = 0; i < list.size(); i++) {
       out.add(object(path + "." + name + "[" + i + "]", list.get(i)));
     }
@@ -189,8 +194,8 @@
     return has(name) ? word(name, words) : absent;
   }
 
-  /** A load report: its numbers by name, anything else skipped; empty where none came. */
-  Map<String, Double> load(String name) {
+  /** The numbers of a nested object by name, anything else skipped; empty where it is absent. */
+  public Map<String, Double> numbers(String name) {
     if (!has(name)) {
       return Map.of();
     }
--- a/src/main/java/pumicekeel/node/Configuration.java
+++ b/src/main/java/loadbalancer/config/ProxyConfiguration.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.config;
 
 import io.netty.util.NetUtil;
 import java.io.IOException;
@@ -7,54 +7,54 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import pumicekeel.Balancer.Settings;
-import pumicekeel.adapter.Decoder;
-import pumicekeel.adapter.Fields;
+import loadbalancer.policy.settings.PolicySettings;
 
 /**
  * What the platform tells a balancer at its start; a bad value is an IllegalArgumentException that
  * names it.
  */
-record Configuration(
+public record ProxyConfiguration(
     String name,
     InetSocketAddress listen,
     InetSocketAddress discovery,
     long seed,
     int sockets,
-    HostList known,
-    Settings settings) {
+    EndpointList known,
+    PolicySettings settings) {
 
   /**
    * Reads the file that PROXY_CONFIG names; the other variables, where set, come before what it
    * says.
    */
-  static Configuration read(Map<String, String> environment) throws IOException {
+  public static ProxyConfiguration read(Map<String, String> environment) throws IOException {
     String file = environment.get("PROXY_CONFIG");
     if (file == null) {
       throw new IllegalArgumentException("PROXY_CONFIG is not set");
     }
-    Fields f = Fields.parse("configuration", Files.readString(Path.of(file)));
-    Fields known = f.nested("known");
-    return new Configuration(
+    JsonObjectReader f = JsonObjectReader.parse("configuration", Files.readString(Path.of(file)));
+    JsonObjectReader known = f.nested("known");
+    return new ProxyConfiguration(
         variable(environment, "PROXY_NAME", f, "name"),
         address("listen", variable(environment, "PROXY_LISTEN", f, "listen")),
         address("discovery", variable(environment, "PROXY_DISCOVERY", f, "discovery")),
         seed(f.text("seed")),
         sockets(f.nested("limits").integer("sockets", 1024)),
-        known.has("endpoints") ? HostList.of(known) : new HostList(0, true, java.util.List.of()),
-        Decoder.settings(f.nested("settings")));
+        known.has("endpoints")
+            ? EndpointList.of(known)
+            : new EndpointList(0, true, java.util.List.of()),
+        PolicySettingsReader.read(f.nested("settings")));
   }
 
   /**
    * Reads the file again at a reload: then it wins, for the other variables are as old as the
    * process.
    */
-  static Configuration reread(Map<String, String> environment) throws IOException {
+  public static ProxyConfiguration reread(Map<String, String> environment) throws IOException {
     return read(Map.of("PROXY_CONFIG", environment.getOrDefault("PROXY_CONFIG", "")));
   }
 
   private static String variable(
-      Map<String, String> environment, String variable, Fields f, String name) {
+      Map<String, String> environment, String variable, JsonObjectReader f, String name) {
     String value = environment.get(variable);
     return value == null || value.isEmpty() ? f.text(name) : value;
   }
@@ -75,7 +75,7 @@
   }
 
   /** An address and a port; no names, since there is no DNS and a look-up would block the loop. */
-  static InetSocketAddress address(String what, String text) {
+  public static InetSocketAddress address(String what, String text) {
     int colon = text.lastIndexOf(':');
     InetAddress host =
         colon < 0 ? null : NetUtil.createInetAddressFromIpAddressString(text.substring(0, colon));
--- a/src/main/java/pumicekeel/adapter/WireException.java
+++ b/src/main/java/loadbalancer/config/WireFormatException.java
@@ -1,11 +1,11 @@
-package pumicekeel.adapter;
+package loadbalancer.config;
 
 /** Malformed input; the message says what was wrong and, once known, on which line. */
-public final class WireException extends RuntimeException {
+public final class WireFormatException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
-  WireException(String message) {
+  public WireFormatException(String message) {
     super(message);
   }
 }
--- a/src/main/java/pumicekeel/AdaptiveBalancer.java
+++ b/src/main/java/loadbalancer/policy/AdaptiveLoadBalancingPolicy.java
@@ -1,4 +1,4 @@
-package pumicekeel;
+package loadbalancer.policy;
 
 import java.util.Comparator;
 import java.util.HashMap;
@@ -10,14 +10,37 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import pumicekeel.Window.Metric;
+import loadbalancer.policy.SlidingWindow.Metric;
+import loadbalancer.policy.action.Action;
+import loadbalancer.policy.action.CancelAttempt;
+import loadbalancer.policy.action.FailRequest;
+import loadbalancer.policy.action.ForwardAttempt;
+import loadbalancer.policy.action.LogMessage;
+import loadbalancer.policy.action.RejectRequest;
+import loadbalancer.policy.action.SetTimer;
+import loadbalancer.policy.action.WatchEndpoints;
+import loadbalancer.policy.event.AttemptCompleted;
+import loadbalancer.policy.event.AttemptStatus;
+import loadbalancer.policy.event.ClientDisconnected;
+import loadbalancer.policy.event.EndpointDescriptor;
+import loadbalancer.policy.event.EndpointListUpdate;
+import loadbalancer.policy.event.EndpointStatus;
+import loadbalancer.policy.event.Event;
+import loadbalancer.policy.event.RequestArrived;
+import loadbalancer.policy.event.ResponseStarted;
+import loadbalancer.policy.event.TimerFired;
+import loadbalancer.policy.settings.DeduplicationScope;
+import loadbalancer.policy.settings.PolicySettings;
+import loadbalancer.policy.settings.RequestClass;
+import loadbalancer.policy.settings.RequestEffect;
+import loadbalancer.policy.settings.WeightKind;
 
 /**
  * Every decision of a balancer; its interface is in Balancer.java. Ordinary path: {@link #admit}
  * refuses what exceeds the key's allowed rate, {@link #place} picks an upstream by bounded load,
  * {@link #send} starts the attempt, {@link #learn} takes its latency.
  */
-public final class AdaptiveBalancer implements Balancer {
+public final class AdaptiveLoadBalancingPolicy implements LoadBalancingPolicy {
 
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1000 * MS;
@@ -193,14 +216,14 @@
   private static final double SLOW_START_TRICKLE = 2;
   private static final long SENDS_KEPT = 30 * SECOND;
 
-  private final Settings settings;
+  private final PolicySettings settings;
   private final SplittableRandom random;
   private final long window;
   private final long shortestAim;
   private final Map<String, RequestClass> classes = new HashMap<>();
   private final Map<String, Double> quotas = new HashMap<>();
   private final Map<String, TokenBucket> quotaTokens = new HashMap<>();
-  private final Map<Long, Upstream> upstreams = new LinkedHashMap<>();
+  private final Map<Long, Endpoint> upstreams = new LinkedHashMap<>();
   private final Map<String, PendingRequest> open = new LinkedHashMap<>();
 
   /** Requests without an attempt out, the most valuable first, then the oldest. */
@@ -208,18 +231,18 @@
       new TreeSet<>(
           Comparator.<PendingRequest>comparingDouble(r -> -value(r))
               .thenComparingLong(r -> r.arrived)
-              .thenComparing(r -> r.request.id()));
+              .thenComparing(r -> r.request.requestId()));
 
-  private final Map<String, Window> windows = new LinkedHashMap<>(64, 0.75f, true);
-  private final Window fleet;
-  private final Window within;
-  private final Window over;
-  private final Window busy = new Window(HISTORY, 0);
+  private final Map<String, SlidingWindow> windows = new LinkedHashMap<>(64, 0.75f, true);
+  private final SlidingWindow fleet;
+  private final SlidingWindow within;
+  private final SlidingWindow over;
+  private final SlidingWindow busy = new SlidingWindow(HISTORY, 0);
   private double usualLatency;
   private double nearPart;
   private double usualInFlight = 1;
   private double usualSends;
-  private Ring ring = new Ring(List.of(), u -> 0);
+  private HashRing ring = new HashRing(List.of(), u -> 0);
   private int ready;
   private double readyLoad;
   private double usualHint;
@@ -241,19 +264,27 @@
   private Consumer<Action> out;
 
   /** Makes the decisions of one balancer; the seed is its only source of randomness. */
-  public AdaptiveBalancer(Settings settings, long seed) {
+  public AdaptiveLoadBalancingPolicy(PolicySettings settings, long seed) {
     this.settings = settings;
     random = new SplittableRandom(seed);
-    settings.classes().forEach(c -> classes.put(c.name(), c));
+    settings.requestClasses().forEach(c -> classes.put(c.name(), c));
     settings
         .tenants()
         .forEach(t -> quotas.put(t.name(), t.quotaPerSecond() / settings.groupSize()));
-    shortestAim = settings.classes().stream().mapToLong(RequestClass::aimNanos).min().getAsLong();
-    long longest = settings.classes().stream().mapToLong(RequestClass::aimNanos).max().getAsLong();
+    shortestAim =
+        settings.requestClasses().stream()
+            .mapToLong(RequestClass::latencyObjectiveNanos)
+            .min()
+            .getAsLong();
+    long longest =
+        settings.requestClasses().stream()
+            .mapToLong(RequestClass::latencyObjectiveNanos)
+            .max()
+            .getAsLong();
     window = Math.max(SECOND, (long) (WINDOW_AIMS * longest));
-    fleet = new Window(window, REACH, 0);
-    within = new Window(window, REACH, 0);
-    over = new Window(window, REACH, 0);
+    fleet = new SlidingWindow(window, REACH, 0);
+    within = new SlidingWindow(window, REACH, 0);
+    over = new SlidingWindow(window, REACH, 0);
     usualLatency = shortestAim / 2.0;
   }
 
@@ -261,23 +292,23 @@
   public void handle(long nowNanos, Event event, Consumer<Action> actions) {
     now = nowNanos;
     out = actions;
-    if (event instanceof Request e) {
+    if (event instanceof RequestArrived e) {
       onRequest(e);
-    } else if (event instanceof Outcome e) {
+    } else if (event instanceof AttemptCompleted e) {
       onOutcome(e);
     } else if (event instanceof TimerFired && now >= sweepAt - MS) {
       // A balancer's timers may be coarser than the clock; one fired a little early must not end
       // the sweeps.
       sweepAt = Long.MAX_VALUE;
       onSweep();
-    } else if (event instanceof ListNews e) {
+    } else if (event instanceof EndpointListUpdate e) {
       onList(e);
-    } else if (event instanceof ClientGone e
-        && open.containsKey(e.id())
-        && !open.get(e.id()).ended) {
-      release(open.get(e.id()));
-    } else if (event instanceof AnswerStarted e && open.get(e.id()) != null) {
-      open.get(e.id()).streaming = true;
+    } else if (event instanceof ClientDisconnected e
+        && open.containsKey(e.requestId())
+        && !open.get(e.requestId()).ended) {
+      release(open.get(e.requestId()));
+    } else if (event instanceof ResponseStarted e && open.get(e.requestId()) != null) {
+      open.get(e.requestId()).streaming = true;
     }
   }
 
@@ -290,7 +321,7 @@
 
   /** The next look at a request with an attempt out: to see silence, and in time for its end. */
   private void watch(PendingRequest r) {
-    long end = r.request.deadlineNanos() + settings.contract().answerSlackNanos() / 2;
+    long end = r.request.deadlineNanos() + settings.serviceRules().responseSlackNanos() / 2;
     sweepBy(Math.max(now + MS, Math.min(end, now + Math.max(SWEEP, shortestAim / SWEEPS_PER_AIM))));
   }
 
@@ -304,11 +335,11 @@
     return maxRate + part * (minRate - maxRate);
   }
 
-  private void onRequest(Request request) {
+  private void onRequest(RequestArrived request) {
     RequestClass type = classes.get(request.className());
     if (type == null) {
-      out.accept(new Log("refused a request of unknown class " + request.className()));
-      out.accept(new Refuse(request.id(), retryAfter()));
+      out.accept(new LogMessage("refused a request of unknown class " + request.className()));
+      out.accept(new RejectRequest(request.requestId(), retryAfter()));
       return;
     }
     boolean excess = overQuota(request.tenant());
@@ -323,11 +354,11 @@
             windowOf(endpoint),
             windowOf(endpoint + ' ' + request.key()),
             load(request.workHintNanos()));
-    if (open.size() >= settings.limits().maxOpen() || !admit(r)) {
-      out.accept(new Refuse(request.id(), retryAfter()));
+    if (open.size() >= settings.limits().maxOpenRequests() || !admit(r)) {
+      out.accept(new RejectRequest(request.requestId(), retryAfter()));
       return;
     }
-    open.put(request.id(), r);
+    open.put(request.requestId(), r);
     // No more saved than a window earns: a fixed number at hundreds of balancers would be the
     // overload.
     double saved = Math.max(1, RETRY_SHARE * fleet.total(now, Metric.OFFERED));
@@ -355,10 +386,10 @@
    * Guards the memory where most keys are new: a window that has forgotten all it counted is
    * dropped.
    */
-  private Window windowOf(String name) {
-    Window w = windows.computeIfAbsent(name, k -> new Window(window, now));
-    Iterator<Window> idlest = windows.values().iterator();
-    for (Window idle = idlest.next();
+  private SlidingWindow windowOf(String name) {
+    SlidingWindow w = windows.computeIfAbsent(name, k -> new SlidingWindow(window, now));
+    Iterator<SlidingWindow> idlest = windows.values().iterator();
+    for (SlidingWindow idle = idlest.next();
         idle != w && (idle.empty(now) || windows.size() > MAX_KEYS);
         idle = idlest.next()) {
       idlest.remove();
@@ -377,13 +408,13 @@
    */
   private boolean admit(PendingRequest r) {
     count(r, Metric.OFFERED, 1);
-    Window own =
+    SlidingWindow own =
         r.key.total(now, Metric.SAMPLES) >= ENOUGH
             ? r.key
             : !sparse() || r.endpoint.total(now, Metric.SAMPLES) >= ENOUGH ? r.endpoint : r.share;
     double mean = Math.max(own.mean(now, ENOUGH), fleet.mean(now, ENOUGH));
     double maxRate = own.reach(now, Metric.OFFERED, ENOUGH) * HEADROOM;
-    double early = r.excess ? EXCESS_EARLY + (1 - EXCESS_EARLY) * settings.overShareWorth() : 1;
+    double early = r.excess ? EXCESS_EARLY + (1 - EXCESS_EARLY) * settings.overQuotaWeight() : 1;
     double allowed =
         allowedRate(mean, MIN_VALUE * early, MAX_VALUE * early, maxRate, maxRate * MIN_PART);
     // Guards work inside a quota from what this balancer did not cause: no more is out than while
@@ -396,7 +427,7 @@
     refusedInRow = refused ? refusedInRow + 1 : 0;
     if (refused && refusedSince == 0) {
       out.accept(
-          new Log(
+          new LogMessage(
               String.format(
                   Locale.ROOT,
                   "the line refuses: mean %.2f aims, own of %.0f samples; %.0f admitted, %.1f"
@@ -408,7 +439,8 @@
                   own.reach(now, Metric.OFFERED, ENOUGH))));
       refusedSince = now;
     } else if (!refused && refusedSince != 0 && mean <= MIN_VALUE * early) {
-      out.accept(new Log("the line admits all again after " + (now - refusedSince) / MS + " ms"));
+      out.accept(
+          new LogMessage("the line admits all again after " + (now - refusedSince) / MS + " ms"));
       refusedSince = 0;
     }
     count(r, Metric.ADMITTED, refused ? 0 : 1);
@@ -423,7 +455,7 @@
   }
 
   private double value(PendingRequest r) {
-    return r.type.worth() * (r.excess ? settings.overShareWorth() : 1);
+    return r.type.priorityWeight() * (r.excess ? settings.overQuotaWeight() : 1);
   }
 
   /**
@@ -445,9 +477,9 @@
   // -------------------------------------
 
   private void rebuildRing() {
-    List<Upstream> members =
+    List<Endpoint> members =
         upstreams.values().stream()
-            .filter(u -> u.listed.state() == State.READY)
+            .filter(u -> u.listed.status() == EndpointStatus.READY)
             .sorted(Comparator.comparingLong(u -> u.id))
             .toList();
     ready = members.size();
@@ -465,7 +497,7 @@
     boolean sized =
         settings.weightKind() == WeightKind.NOMINAL || settings.weightKind() == WeightKind.ROUGH;
     ring =
-        new Ring(
+        new HashRing(
             members,
             u ->
                 Math.round(
@@ -480,7 +512,7 @@
   /**
    * The first upstream from the key's place on the ring that may take it, own zone first; or null.
    */
-  private Upstream place(PendingRequest r) {
+  private Endpoint place(PendingRequest r) {
     int start = ring.placeOf(r.request.key() == null ? "" + random.nextLong() : r.request.key());
     double all = busy.total(now, Metric.SUM) / usualLatency + 1;
     double nearMost = Math.ceil((1 + HISTORY_SLACK) * all * nearPart);
@@ -489,13 +521,15 @@
     // more crowd.
     double part = r.key.total(now, Metric.OFFERED) / Math.max(1, fleet.total(now, Metric.OFFERED));
     double most =
-        sparse() || !settings.warmKeys() ? ready : KEY_SPREAD + Math.ceil(KEY_PARTS * ready * part);
-    Upstream startingAway = null;
-    Upstream away = null;
-    Upstream crowded = null;
+        sparse() || !settings.endpointsCacheKeys()
+            ? ready
+            : KEY_SPREAD + Math.ceil(KEY_PARTS * ready * part);
+    Endpoint startingAway = null;
+    Endpoint away = null;
+    Endpoint crowded = null;
     visits++;
     for (int i = 0, seen = 0, tried = 0; seen < ready && tried < most; i++) {
-      Upstream u = ring.owner(start + i);
+      Endpoint u = ring.owner(start + i);
       boolean again = u.visit == visits;
       u.visit = visits;
       seen += again ? 0 : 1;
@@ -528,15 +562,15 @@
     return busy.total(now, Metric.SUM) < SPARSE * ready * HISTORY;
   }
 
-  private boolean near(Upstream u) {
-    return settings.prices().crossZone() == 0 || u.listed.zone().equals(settings.zone());
+  private boolean near(Endpoint u) {
+    return settings.costs().crossZone() == 0 || u.listed.zone().equals(settings.zone());
   }
 
-  private boolean usable(Upstream u) {
+  private boolean usable(Endpoint u) {
     return panic || u.ejectedUntil <= now && !u.onTrial && !silent(u);
   }
 
-  private double bound(Upstream u) {
+  private double bound(Endpoint u) {
     return Math.min(Math.max(1, Math.ceil((1 + SLACK) * (readyLoad + 1) / ready)), room(u));
   }
 
@@ -546,7 +580,7 @@
    * answers, or a restarted balancer would starve itself; nor without its own time, or a slow
    * balancer would.
    */
-  private double room(Upstream u) {
+  private double room(Endpoint u) {
     if (u.firstServed == 0
         || now - u.firstServed < window / 4 && u.window.total(now, Metric.SAMPLES) < ENOUGH) {
       return Double.MAX_VALUE;
@@ -564,7 +598,7 @@
    * shut out what is well, and be slower still. Hurts where it is slow and an upstream dies at
    * once: seen so much later.
    */
-  private boolean silent(Upstream u) {
+  private boolean silent(Endpoint u) {
     double gap = u.window.mean(now, 1) / Math.max(1, u.inFlight);
     double own =
         u.window.total(now, Metric.OURS) / Math.max(1, u.window.total(now, Metric.SAMPLES));
@@ -577,17 +611,18 @@
   // ---- Rule 2: where a request may still go
   // -------------------------------------------------------------
 
-  private boolean mayGoTo(PendingRequest r, Upstream u) {
+  private boolean mayGoTo(PendingRequest r, Endpoint u) {
     for (Attempt a : r.attempts) {
       if (a.upstream == u && (a.out || ready > r.attempts.size())) {
         return false;
       }
-      if (a.mayHaveRun && r.type.effect() != Effect.SAFE) {
+      if (a.mayHaveRun && r.type.effect() != RequestEffect.IDEMPOTENT) {
         // The window is cut by a tick, against a balancer that carries the sending out a moment
         // later.
-        if (r.type.effect() == Effect.UNSAFE
-            || !r.type.dedupScope().covers(a.upstream.listed, u.listed)
-            || now - a.sentAt >= r.type.dedupWindowNanos() - settings.tickNanos()) {
+        if (r.type.effect() == RequestEffect.NOT_IDEMPOTENT
+            || !r.type.deduplicationScope().covers(a.upstream.listed, u.listed)
+            || now - a.sentAt
+                >= r.type.deduplicationWindowNanos() - settings.clockResolutionNanos()) {
           return false;
         }
       }
@@ -596,19 +631,22 @@
   }
 
   private boolean mayRefuse(PendingRequest r) {
-    return r.type.effect() == Effect.SAFE
+    return r.type.effect() == RequestEffect.IDEMPOTENT
         || !r.mayHaveRun()
-        || r.type.effect() == Effect.KEYED && r.type.dedupScope() == DedupScope.ALL;
+        || r.type.effect() == RequestEffect.IDEMPOTENT_WITH_KEY
+            && r.type.deduplicationScope() == DeduplicationScope.ALL;
   }
 
   // ---- Rule 4: slow start
   // --------------------------------------------------------------------------------
 
   /** The part of its capacity that an upstream surely has: from cold-from, evenly, to the whole. */
-  private double warmth(Upstream u) {
+  private double warmth(Endpoint u) {
     double part =
-        Math.max(0, now - u.started) / (double) Math.max(1, settings.contract().warmWithinNanos());
-    return u.started <= 0 || part >= 1 ? 1 : settings.contract().coldFrom() * (1 - part) + part;
+        Math.max(0, now - u.started) / (double) Math.max(1, settings.serviceRules().warmUpNanos());
+    return u.started <= 0 || part >= 1
+        ? 1
+        : settings.serviceRules().initialCapacityFraction() * (1 - part) + part;
   }
 
   /**
@@ -617,7 +655,7 @@
    * balancers save in a lull: a whole token at each of a hundred is a hundred requests at once, and
    * more than it stands.
    */
-  private boolean mayTake(Upstream u) {
+  private boolean mayTake(Endpoint u) {
     double part = Math.min(slowStartPart(u), slowStartTokens(u));
     u.slowStart.tokens -= part;
     u.slowStartEarned += part;
@@ -628,7 +666,7 @@
    * What a request earns at most, and what is saved for it: few balancers may save more each than
    * many.
    */
-  private double slowStartPart(Upstream u) {
+  private double slowStartPart(Endpoint u) {
     return Math.min(1, Math.max(warmth(u), SLOW_START_TRICKLE / settings.groupSize()));
   }
 
@@ -637,10 +675,10 @@
    * most of it from its zone. The trickle guards against a fleet that is cold all at once and would
    * wait for traffic to be allowed any.
    */
-  private double slowStartTokens(Upstream u) {
+  private double slowStartTokens(Endpoint u) {
     double usual = usualSends * (near(u) ? nearPart : 1.0 / Math.max(1, ready));
     double rate = Math.max(SLOW_START_TRICKLE / settings.groupSize(), warmth(u) * usual);
-    double seconds = SLOW_START_BURST * settings.contract().fallWindowNanos() / SECOND;
+    double seconds = SLOW_START_BURST * settings.serviceRules().overloadWindowNanos() / SECOND;
     return u.slowStart.fill(now, rate, Math.max(slowStartPart(u), rate * seconds));
   }
 
@@ -655,15 +693,15 @@
     boolean over =
         r.attempts.size() >= settings.limits().maxAttempts()
             || !first && retryTokens < 1
-            || r.type.effect() == Effect.UNSAFE && r.mayHaveRun()
+            || r.type.effect() == RequestEffect.NOT_IDEMPOTENT && r.mayHaveRun()
             || now >= r.request.deadlineNanos() - 2 * SWEEP;
-    Upstream u = over ? null : place(r);
+    Endpoint u = over ? null : place(r);
     if (u != null) {
       retryTokens -= first ? 0 : 1;
       held.remove(r);
       send(r, u);
     } else if (over
-        || first && now >= r.arrived + HOLD_PART * r.type.aimNanos()
+        || first && now >= r.arrived + HOLD_PART * r.type.latencyObjectiveNanos()
         || !first && ready == 0) {
       finish(r);
     } else {
@@ -674,7 +712,7 @@
     return true;
   }
 
-  private void send(PendingRequest r, Upstream u) {
+  private void send(PendingRequest r, Endpoint u) {
     r.attempts.add(new Attempt(u, now, usualLatency * r.load));
     u.busy.add(now, Metric.SUM, usualLatency * r.load);
     busy.add(now, Metric.SUM, usualLatency * r.load);
@@ -685,7 +723,7 @@
     u.onTrial = u.ejections > 0;
     u.slowStartEarned -= warmth(u) < 1 ? r.load : 0;
     readyLoad += r.load;
-    out.accept(new Send(r.request.id(), u.id, r.request.deadlineNanos() - now));
+    out.accept(new ForwardAttempt(r.request.requestId(), u.id, r.request.deadlineNanos() - now));
     watch(r);
   }
 
@@ -696,14 +734,14 @@
   private void hedge(PendingRequest r) {
     boolean mayCopy =
         r.out == 1
-            && settings.limits().secondCopies()
-            && settings.limits().cancel()
+            && settings.limits().hedging()
+            && settings.limits().cancellation()
             && r.attempts.size() < settings.limits().maxAttempts()
             && hedgeTokens >= 1
             && silent(r.attempts.get(r.attempts.size() - 1).upstream)
-            && now < Math.min(r.request.deadlineNanos(), r.arrived + r.type.aimNanos())
+            && now < Math.min(r.request.deadlineNanos(), r.arrived + r.type.latencyObjectiveNanos())
             && fleet.mean(now, ENOUGH) <= MIN_VALUE;
-    Upstream u = mayCopy ? place(r) : null;
+    Endpoint u = mayCopy ? place(r) : null;
     if (u != null) {
       hedgeTokens--;
       send(r, u);
@@ -711,7 +749,10 @@
   }
 
   private void finish(PendingRequest r) {
-    out.accept(mayRefuse(r) ? new Refuse(r.request.id(), retryAfter()) : new Fail(r.request.id()));
+    out.accept(
+        mayRefuse(r)
+            ? new RejectRequest(r.request.requestId(), retryAfter())
+            : new FailRequest(r.request.requestId()));
     release(r);
   }
 
@@ -720,17 +761,17 @@
     r.ended = true;
     held.remove(r);
     if (r.out == 0) {
-      open.remove(r.request.id());
+      open.remove(r.request.requestId());
     }
-    for (int i = 0; i < r.attempts.size() && settings.limits().cancel(); i++) {
+    for (int i = 0; i < r.attempts.size() && settings.limits().cancellation(); i++) {
       if (r.attempts.get(i).out) {
-        out.accept(new Cancel(r.request.id(), i));
+        out.accept(new CancelAttempt(r.request.requestId(), i));
       }
     }
   }
 
-  private void onOutcome(Outcome o) {
-    PendingRequest r = open.get(o.id());
+  private void onOutcome(AttemptCompleted o) {
+    PendingRequest r = open.get(o.requestId());
     if (r == null || o.attempt() >= r.attempts.size() || !r.attempts.get(o.attempt()).out) {
       return;
     }
@@ -741,14 +782,17 @@
     a.upstream.load -= a.upstream.inFlight == 0 ? a.upstream.load : r.load;
     a.upstream.heardAt = now;
     r.out--;
-    readyLoad -= a.upstream.listed.state() == State.READY ? r.load : 0;
-    double least = o.status() == Status.SERVED || o.stale() ? 0 : FAILED_AIMS * r.type.aimNanos();
+    readyLoad -= a.upstream.listed.status() == EndpointStatus.READY ? r.load : 0;
+    double least =
+        o.status() == AttemptStatus.SERVED || o.foundStaleConnection()
+            ? 0
+            : FAILED_AIMS * r.type.latencyObjectiveNanos();
     a.upstream.busy.add(now, Metric.SUM, Math.max(least, o.latencyNanos()) - a.charged);
     busy.add(now, Metric.SUM, Math.max(least, o.latencyNanos()) - a.charged);
     learn(r, a, o);
     if (r.ended && r.out == 0) {
-      open.remove(o.id());
-    } else if (!r.ended && o.finished()) {
+      open.remove(o.requestId());
+    } else if (!r.ended && o.requestFinished()) {
       hedgeTokens =
           Math.min(HEDGE_MOST, hedgeTokens + (r.out > 0 && o.attempt() > 0 ? HEDGE_WIN : 0));
       release(r);
@@ -761,40 +805,40 @@
     }
   }
 
-  private void learn(PendingRequest r, Attempt a, Outcome o) {
-    Upstream u = a.upstream;
+  private void learn(PendingRequest r, Attempt a, AttemptCompleted o) {
+    Endpoint u = a.upstream;
     u.onTrial = false;
     long ours = ours(a, o);
-    if (o.status() == Status.SERVED) {
+    if (o.status() == AttemptStatus.SERVED) {
       u.failures = 0;
       u.ejections = 0;
       u.firstServed = u.firstServed == 0 ? now : u.firstServed;
-      u.window.add(now, Metric.AIMS, r.load * r.type.aimNanos() / SECOND);
+      u.window.add(now, Metric.AIMS, r.load * r.type.latencyObjectiveNanos() / SECOND);
       u.window.add(now, Metric.SAMPLES, 1);
       u.window.add(now, Metric.SUM, r.load * o.latencyNanos());
       u.window.add(now, Metric.OURS, r.load * ours);
-      sample(r, (double) (now - r.arrived - ours) / r.type.aimNanos());
+      sample(r, (double) (now - r.arrived - ours) / r.type.latencyObjectiveNanos());
       usualLatency += (o.latencyNanos() - usualLatency) * USUAL_STEP;
-    } else if (o.stale()) {
+    } else if (o.foundStaleConnection()) {
       // No sign of the upstream: kept connections break in a row, and three would eject one that is
       // well.
       // A crash breaks them too, but then the next connects are refused, which counts.
-      sample(r, (double) (now - r.arrived - ours) / r.type.aimNanos());
-    } else if (o.status() != Status.CANCELLED && o.status() != Status.NOT_SENT) {
+      sample(r, (double) (now - r.arrived - ours) / r.type.latencyObjectiveNanos());
+    } else if (o.status() != AttemptStatus.CANCELLED && o.status() != AttemptStatus.NOT_SENT) {
       // One that turns all away holds nothing, so bounded load would send it more than any other:
       // it is
       // ejected as one that fails, though its refusals tell the line nothing.
-      if (o.status() == Status.RESET || o.status() == Status.ERROR) {
+      if (o.status() == AttemptStatus.RESET || o.status() == AttemptStatus.ERROR) {
         // Its latency, but no less than the aim that it missed, and for an error than what is
         // critical. More
         // would take connections that break, spoilt answers, or one upstream's errors for load.
-        double least = o.status() == Status.RESET ? 1 : MAX_VALUE;
-        sample(r, Math.max(least, (double) (now - r.arrived) / r.type.aimNanos()));
-      } else if (o.status() == Status.TIMEOUT) {
+        double least = o.status() == AttemptStatus.RESET ? 1 : MAX_VALUE;
+        sample(r, Math.max(least, (double) (now - r.arrived) / r.type.latencyObjectiveNanos()));
+      } else if (o.status() == AttemptStatus.TIMEOUT) {
         // A time-out adds its limit, the one that the client set: its class's is twice as long, and
         // a tenth
         // of the attempts lost to what no refusal can mend would be taken for an overload of all.
-        sample(r, (double) (now - r.arrived) / r.type.aimNanos());
+        sample(r, (double) (now - r.arrived) / r.type.latencyObjectiveNanos());
       }
       if (++u.failures >= EJECT_AFTER && u.ejectedUntil <= now) {
         long backoff = Math.min(EJECT_MOST, EJECT_FIRST << Math.min(u.ejections++, 10));
@@ -807,9 +851,9 @@
    * What an attempt spent in this balancer, beside its latency: no upstream's work, so neither the
    * line nor the room may take it for that. A few ticks are the clock's own rounding.
    */
-  private long ours(Attempt a, Outcome o) {
+  private long ours(Attempt a, AttemptCompleted o) {
     long rest = now - a.sentAt - o.latencyNanos();
-    return rest <= OURS_TICKS * settings.tickNanos() ? 0 : rest;
+    return rest <= OURS_TICKS * settings.clockResolutionNanos() ? 0 : rest;
   }
 
   private void sample(PendingRequest r, double part) {
@@ -830,12 +874,15 @@
             fleet.total(now, Metric.ADMITTED) * SECOND / window);
     long bad =
         upstreams.values().stream()
-            .filter(u -> u.listed.state() == State.READY && (u.ejectedUntil > now || silent(u)))
+            .filter(
+                u ->
+                    u.listed.status() == EndpointStatus.READY
+                        && (u.ejectedUntil > now || silent(u)))
             .count();
     panic = bad > PANIC_SHARE * ready;
     for (PendingRequest r : List.copyOf(open.values())) {
       if (r.out > 0 && !r.ended && !r.streaming) {
-        if (now >= r.request.deadlineNanos() + settings.contract().answerSlackNanos() / 2) {
+        if (now >= r.request.deadlineNanos() + settings.serviceRules().responseSlackNanos() / 2) {
           finish(r);
         } else {
           hedge(r);
@@ -846,7 +893,7 @@
     List.copyOf(held).forEach(this::advance);
     if (now >= askAt) {
       askAt = Long.MAX_VALUE;
-      out.accept(new Watch(true));
+      out.accept(new WatchEndpoints(true));
     }
     sweepBy(askAt);
   }
@@ -854,43 +901,45 @@
   // ---- Following the list
   // -------------------------------------------------------------------------------
 
-  private void onList(ListNews news) {
-    if (news.kind() == ListKind.FAILED) {
+  private void onList(EndpointListUpdate news) {
+    if (news.kind() == EndpointListUpdate.Kind.FAILED) {
       // Full jitter, or all balancers would come back to the list service at once.
       long backoff =
-          settings.listOnRequest()
+          settings.endpointListPolled()
               ? Math.min(ASK_MOST, ASK_FIRST << Math.min(askFailures++, 10))
-              : Math.max(SWEEP, (long) (ASK_PUSHED * settings.contract().drainGraceNanos()));
+              : Math.max(SWEEP, (long) (ASK_PUSHED * settings.serviceRules().drainGraceNanos()));
       askAt = now + (long) (backoff * random.nextDouble());
       sweepBy(askAt);
       return;
     }
-    if (news.kind() != ListKind.CACHED) {
+    if (news.kind() != EndpointListUpdate.Kind.CACHED) {
       askFailures = 0;
-    } else if (settings.listOnRequest()) {
-      out.accept(new Watch(true));
+    } else if (settings.endpointListPolled()) {
+      out.accept(new WatchEndpoints(true));
     }
-    Map<Long, Listed> entries = new LinkedHashMap<>();
-    news.entries().forEach(e -> entries.put(e.upstream(), e));
-    if (news.kind() != ListKind.DELTA) {
+    Map<Long, EndpointDescriptor> entries = new LinkedHashMap<>();
+    news.entries().forEach(e -> entries.put(e.endpointId(), e));
+    if (news.kind() != EndpointListUpdate.Kind.DELTA) {
       // One that is absent from a full list is gone.
       upstreams.forEach(
           (id, u) ->
               entries.putIfAbsent(
                   id,
-                  new Listed(
+                  new EndpointDescriptor(
                       id,
                       u.listed.zone(),
-                      u.listed.cell(),
-                      State.GONE,
+                      u.listed.deduplicationCell(),
+                      EndpointStatus.REMOVED,
                       u.started,
                       u.listed.weight())));
     }
-    for (Listed e : entries.values()) {
-      Upstream u =
+    for (EndpointDescriptor e : entries.values()) {
+      Endpoint u =
           upstreams.computeIfAbsent(
-              e.upstream(),
-              id -> new Upstream(id, new Window(window / 2, now), new Window(HISTORY, now)));
+              e.endpointId(),
+              id ->
+                  new Endpoint(
+                      id, new SlidingWindow(window / 2, now), new SlidingWindow(HISTORY, now)));
       if (e.startedNanos() > u.started) {
         u.started = e.startedNanos();
         u.failures = 0;
@@ -904,6 +953,8 @@
       u.listed = e;
     }
     rebuildRing();
-    upstreams.values().removeIf(u -> u.listed.state() == State.GONE && u.inFlight == 0);
+    upstreams
+        .values()
+        .removeIf(u -> u.listed.status() == EndpointStatus.REMOVED && u.inFlight == 0);
   }
 }
--- a/src/main/java/pumicekeel/Attempt.java
+++ b/src/main/java/loadbalancer/policy/Attempt.java
@@ -1,8 +1,8 @@
-package pumicekeel;
+package loadbalancer.policy;
 
 /** One sending of a request. */
 final class Attempt {
-  final Upstream upstream;
+  final Endpoint upstream;
   final long sentAt;
 
   /** In-flight time charged in advance. */
@@ -11,7 +11,7 @@
   boolean out = true;
   boolean mayHaveRun = true;
 
-  Attempt(Upstream upstream, long sentAt, double charged) {
+  Attempt(Endpoint upstream, long sentAt, double charged) {
     this.upstream = upstream;
     this.sentAt = sentAt;
     this.charged = charged;
--- a/src/main/java/pumicekeel/Upstream.java
+++ b/src/main/java/loadbalancer/policy/Endpoint.java
@@ -1,19 +1,21 @@
-package pumicekeel;
+package loadbalancer.policy;
+
+import loadbalancer.policy.event.EndpointDescriptor;
 
 /** What a balancer knows of an upstream. */
-final class Upstream {
+final class Endpoint {
   final long id;
-  final Window window;
+  final SlidingWindow window;
 
   /** In-flight time over the long window of bounded load. */
-  final Window busy;
+  final SlidingWindow busy;
 
   final TokenBucket slowStart = new TokenBucket();
 
   /** The part of a send that requests for it have earned while it is cold. */
   double slowStartEarned;
 
-  Balancer.Listed listed;
+  EndpointDescriptor listed;
   long started;
   long firstServed;
   long heardAt;
@@ -25,7 +27,7 @@
   boolean onTrial;
   long visit;
 
-  Upstream(long id, Window window, Window busy) {
+  Endpoint(long id, SlidingWindow window, SlidingWindow busy) {
     this.id = id;
     this.window = window;
     this.busy = busy;
--- a/src/main/java/pumicekeel/Ring.java
+++ b/src/main/java/loadbalancer/policy/HashRing.java
@@ -1,4 +1,4 @@
-package pumicekeel;
+package loadbalancer.policy;
 
 import java.util.Arrays;
 import java.util.List;
@@ -7,15 +7,15 @@
 /**
  * A hash ring: each member owns as many points as it was given; a walk goes on from a key's place.
  */
-final class Ring {
+final class HashRing {
   /** A point's low bits name its owner; more members than a list can hold. */
   private static final long OWNERS = 1 << 20;
 
   private final long[] points;
-  private final Upstream[] owners;
+  private final Endpoint[] owners;
 
   /** Plain numbers, sorted: each news of a rolling deploy makes the ring anew at every balancer. */
-  Ring(List<Upstream> members, ToLongFunction<Upstream> pointsOf) {
+  HashRing(List<Endpoint> members, ToLongFunction<Endpoint> pointsOf) {
     long[] unsorted = new long[(int) members.stream().mapToLong(pointsOf).sum()];
     int count = 0;
     for (int m = 0; m < members.size(); m++) {
@@ -29,7 +29,7 @@
     owners =
         Arrays.stream(points)
             .mapToObj(p -> members.get((int) (p & OWNERS - 1)))
-            .toArray(Upstream[]::new);
+            .toArray(Endpoint[]::new);
   }
 
   private static long mix(long x) {
@@ -45,7 +45,7 @@
   }
 
   /** The owner of a point; counting goes around the ring. */
-  Upstream owner(int place) {
+  Endpoint owner(int place) {
     return owners[place % owners.length];
   }
 }
--- a/src/main/java/pumicekeel/PendingRequest.java
+++ b/src/main/java/loadbalancer/policy/PendingRequest.java
@@ -1,20 +1,22 @@
-package pumicekeel;
+package loadbalancer.policy;
 
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.policy.event.RequestArrived;
+import loadbalancer.policy.settings.RequestClass;
 
 /** A request in hand: until it has its final answer and each of its attempts has ended. */
 final class PendingRequest {
-  final Balancer.Request request;
-  final Balancer.RequestClass type;
+  final RequestArrived request;
+  final RequestClass type;
   final long arrived;
   final boolean excess;
 
   /** All work inside quotas, or all over them. */
-  final Window share;
+  final SlidingWindow share;
 
-  final Window endpoint;
-  final Window key;
+  final SlidingWindow endpoint;
+  final SlidingWindow key;
   final double load;
   final List<Attempt> attempts = new ArrayList<>(1);
   int out;
@@ -22,13 +24,13 @@
   boolean streaming;
 
   PendingRequest(
-      Balancer.Request request,
-      Balancer.RequestClass type,
+      RequestArrived request,
+      RequestClass type,
       long arrived,
       boolean excess,
-      Window share,
-      Window endpoint,
-      Window key,
+      SlidingWindow share,
+      SlidingWindow endpoint,
+      SlidingWindow key,
       double load) {
     this.request = request;
     this.type = type;
--- a/src/main/java/pumicekeel/Window.java
+++ b/src/main/java/loadbalancer/policy/SlidingWindow.java
@@ -1,9 +1,9 @@
-package pumicekeel;
+package loadbalancer.policy;
 
 import java.util.Arrays;
 
 /** Counts and sums over the last window, and further back where it holds too few samples. */
-final class Window {
+final class SlidingWindow {
 
   /**
    * What a window counts: offers, admissions, samples, the sum of their latencies, the sum of their
@@ -27,12 +27,12 @@
   private final double[] totals = new double[Metric.values().length];
   private long slot;
 
-  Window(long lengthNanos, long now) {
+  SlidingWindow(long lengthNanos, long now) {
     this(lengthNanos, 1, now);
   }
 
   /** A window that remembers so many times its length. */
-  Window(long lengthNanos, int reach, long now) {
+  SlidingWindow(long lengthNanos, int reach, long now) {
     slotNanos = lengthNanos / SLOTS;
     kept = SLOTS * reach;
     slots = new double[Metric.values().length][kept];
--- a/src/main/java/pumicekeel/TokenBucket.java
+++ b/src/main/java/loadbalancer/policy/TokenBucket.java
@@ -1,4 +1,4 @@
-package pumicekeel;
+package loadbalancer.policy;
 
 /** A token bucket; its rate and size may differ from one filling to the next. */
 final class TokenBucket {
--- /dev/null
+++ b/src/main/java/loadbalancer/policy/event/ResponseStarted.java
@@ -0,0 +1,13 @@
+package loadbalancer.policy.event;
+
+/**
+ * A streamed response has started: from now on the request belongs to this attempt and has no
+ * deadline until the attempt completes.
+ *
+ * @param requestId the request
+ * @param attempt the attempt's index, counted from 0 in forwarding order
+ * @param endpointId the endpoint that responds
+ * @param latencyNanos the time since the attempt was forwarded
+ */
+public record ResponseStarted(String requestId, int attempt, long endpointId, long latencyNanos)
+    implements Event {}
--- a/src/main/java/pumicekeel/node/OpenRequest.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
@@ -1,16 +1,18 @@
-package pumicekeel.node;
+package loadbalancer.proxy.coordinator;
 
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.ArrayList;
 import java.util.List;
-import pumicekeel.Balancer.DedupScope;
-import pumicekeel.Balancer.Effect;
+import loadbalancer.policy.settings.DeduplicationScope;
+import loadbalancer.policy.settings.RequestEffect;
+import loadbalancer.proxy.http.ClientRequest;
+import loadbalancer.proxy.upstream.UpstreamAttempt;
 
 /** A request in the table: until it has its final answer and each of its attempts has ended. */
 final class OpenRequest {
 
   final ClientRequest request;
-  final Client client;
+  final DownstreamClient client;
 
   /** When the module has to have answered, by the balancer's clock. */
   final long deadline;
@@ -19,7 +21,7 @@
   ScheduledFuture<?> guard;
   boolean ended;
 
-  OpenRequest(ClientRequest request, Client client, long deadline) {
+  OpenRequest(ClientRequest request, DownstreamClient client, long deadline) {
     this.request = request;
     this.client = client;
     this.deadline = deadline;
@@ -35,19 +37,20 @@
 
   /** Whether a refusal's promise, that trying again is harmless, would be true. */
   boolean mayRefuse() {
-    return request.type().effect() == Effect.SAFE
+    return request.type().effect() == RequestEffect.IDEMPOTENT
         || !mayHaveRun()
-        || request.type().effect() == Effect.KEYED && request.type().dedupScope() == DedupScope.ALL;
+        || request.type().effect() == RequestEffect.IDEMPOTENT_WITH_KEY
+            && request.type().deduplicationScope() == DeduplicationScope.ALL;
   }
 
   /** Whether what an earlier attempt may have done is still remembered by its upstream's group. */
   boolean repeatIsHarmless(long now) {
-    return request.type().effect() == Effect.SAFE
+    return request.type().effect() == RequestEffect.IDEMPOTENT
         || attempts.stream()
             .filter(UpstreamAttempt::mayHaveRun)
             .allMatch(
                 a ->
-                    request.type().effect() == Effect.KEYED
-                        && now - a.sentAt() < request.type().dedupWindowNanos());
+                    request.type().effect() == RequestEffect.IDEMPOTENT_WITH_KEY
+                        && now - a.sentAt() < request.type().deduplicationWindowNanos());
   }
 }
--- a/src/main/java/pumicekeel/node/BalancerCore.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.coordinator;
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayDeque;
@@ -9,30 +9,40 @@
 import java.util.Queue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import pumicekeel.Balancer;
-import pumicekeel.Balancer.Action;
-import pumicekeel.Balancer.Cancel;
-import pumicekeel.Balancer.ClientGone;
-import pumicekeel.Balancer.Event;
-import pumicekeel.Balancer.Fail;
-import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.ListNews;
-import pumicekeel.Balancer.Listed;
-import pumicekeel.Balancer.Outcome;
-import pumicekeel.Balancer.Refuse;
-import pumicekeel.Balancer.Request;
-import pumicekeel.Balancer.Send;
-import pumicekeel.Balancer.SetTimer;
-import pumicekeel.Balancer.Settings;
-import pumicekeel.Balancer.Status;
-import pumicekeel.Balancer.TimerFired;
-import pumicekeel.Balancer.Watch;
+import loadbalancer.config.EndpointList;
+import loadbalancer.policy.LoadBalancingPolicy;
+import loadbalancer.policy.action.Action;
+import loadbalancer.policy.action.CancelAttempt;
+import loadbalancer.policy.action.FailRequest;
+import loadbalancer.policy.action.ForwardAttempt;
+import loadbalancer.policy.action.LogMessage;
+import loadbalancer.policy.action.RejectRequest;
+import loadbalancer.policy.action.SetTimer;
+import loadbalancer.policy.action.WatchEndpoints;
+import loadbalancer.policy.event.AttemptCompleted;
+import loadbalancer.policy.event.AttemptStatus;
+import loadbalancer.policy.event.ClientDisconnected;
+import loadbalancer.policy.event.EndpointDescriptor;
+import loadbalancer.policy.event.EndpointListUpdate;
+import loadbalancer.policy.event.Event;
+import loadbalancer.policy.event.RequestArrived;
+import loadbalancer.policy.event.TimerFired;
+import loadbalancer.policy.settings.PolicySettings;
+import loadbalancer.proxy.http.ClientRequest;
+import loadbalancer.proxy.http.UpstreamResponse;
+import loadbalancer.proxy.telemetry.EventLog;
+import loadbalancer.proxy.telemetry.EventLoopLag;
+import loadbalancer.proxy.telemetry.TrafficCounters;
+import loadbalancer.proxy.transport.EpochClock;
+import loadbalancer.proxy.upstream.EndpointTable;
+import loadbalancer.proxy.upstream.UpstreamAttempt;
+import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
 /**
  * The table of open requests: tells the module what happens on the sockets and carries out what it
  * decides.
  */
-final class BalancerCore {
+public final class RequestCoordinator {
 
   /**
    * An answer goes out this long before the client stops waiting, so that a busy core still is in
@@ -46,15 +56,15 @@
   /** The node's own answer where the module gave none in time, after the module's deadline. */
   private static final long GUARD_NANOS = 20_000_000L;
 
-  private final Settings settings;
-  private final Balancer module;
-  private final Clock clock;
+  private final PolicySettings settings;
+  private final LoadBalancingPolicy module;
+  private final EpochClock clock;
   private final EventLoop loop;
-  private final LoopLag lag;
-  private final Counters counters = new Counters();
+  private final EventLoopLag lag;
+  private final TrafficCounters counters = new TrafficCounters();
   private final Consumer<RuntimeException> defect;
   private final Map<String, OpenRequest> table = new HashMap<>();
-  private final UpstreamTable upstreams;
+  private final EndpointTable upstreams;
   private final Queue<Event> events = new ArrayDeque<>();
   private final List<OpenRequest> over = new ArrayList<>();
   private Consumer<Boolean> watch = on -> {};
@@ -65,63 +75,63 @@
 
   private long endsAt = Long.MAX_VALUE;
 
-  BalancerCore(
-      Settings settings,
-      Balancer module,
-      Clock clock,
+  public RequestCoordinator(
+      PolicySettings settings,
+      LoadBalancingPolicy module,
+      EpochClock clock,
       EventLoop loop,
-      LoopLag lag,
-      ConnectionPool pool,
+      EventLoopLag lag,
+      UpstreamConnectionPools pool,
       Consumer<RuntimeException> defect) {
     this.settings = settings;
     this.module = module;
     this.clock = clock;
     this.loop = loop;
     this.lag = lag;
-    upstreams = new UpstreamTable(pool);
+    upstreams = new EndpointTable(pool);
     this.defect = defect;
   }
 
   /** Logs what was done since the last report, if anything was. */
-  void report() {
+  public void report() {
     String line = counters.report();
     if (line != null) {
-      Log.line("open " + table.size() + ", " + line);
+      EventLog.line("open " + table.size() + ", " + line);
     }
   }
 
   /**
    * Starts with the list as last held; {@code watch} carries out the module's wish to follow it.
    */
-  void start(HostList known, Consumer<Boolean> watch) {
+  public void start(EndpointList known, Consumer<Boolean> watch) {
     this.watch = watch;
-    news(ListKind.CACHED, known);
+    news(EndpointListUpdate.Kind.CACHED, known);
   }
 
   // ---- Clients
   // ------------------------------------------------------------------------------------------
 
   /** Takes a request; false where its id is open already, which must not replace the first one. */
-  boolean take(ClientRequest request, Client client) {
+  public boolean take(ClientRequest request, DownstreamClient client) {
     long now = clock.now();
     long left =
         Math.max(
             0, Math.min(request.leftNanos() - answerMargin(request.leftNanos()), endsAt - now));
     OpenRequest r = new OpenRequest(request, client, now + left);
-    if (table.putIfAbsent(request.id(), r) != null) {
+    if (table.putIfAbsent(request.requestId(), r) != null) {
       return false;
     }
     counters.taken();
     r.guard = loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
     tell(
-        new Request(
-            request.id(),
+        new RequestArrived(
+            request.requestId(),
             request.type().name(),
             request.tenant(),
             request.key(),
             r.deadline,
             request.hintNanos(),
-            request.retry()));
+            request.clientRetry()));
     return true;
   }
 
@@ -135,18 +145,18 @@
   /**
    * The process ends after so long: no request that is open or taken from now on may last longer.
    */
-  void endBy(long nanos) {
+  public void endBy(long nanos) {
     endsAt = clock.now() + nanos;
     table.values().stream()
         .filter(r -> !r.ended && r.deadline > endsAt)
         .forEach(r -> loop.schedule(() -> answerForModule(r), nanos, TimeUnit.NANOSECONDS));
   }
 
-  void clientGone(String id) {
+  public void clientGone(String id) {
     OpenRequest r = table.get(id);
     if (r != null && end(r)) {
       counters.left();
-      tell(new ClientGone(id));
+      tell(new ClientDisconnected(id));
     }
   }
 
@@ -155,9 +165,9 @@
    */
   private void answerForModule(OpenRequest r) {
     if (end(r)) {
-      Log.caused("answered for the module: " + r.request.id());
+      EventLog.caused("answered for the module: " + r.request.requestId());
       giveUp(r);
-      tell(new ClientGone(r.request.id()));
+      tell(new ClientDisconnected(r.request.requestId()));
     }
   }
 
@@ -180,7 +190,7 @@
   }
 
   /** Answers all that is open, for an end that leaves no time. */
-  void answerAll() {
+  public void answerAll() {
     for (OpenRequest r : List.copyOf(table.values())) {
       if (end(r)) {
         giveUp(r);
@@ -202,17 +212,19 @@
   // ---- The list of upstreams
   // ----------------------------------------------------------------------------
 
-  void news(HostList list) {
-    news(list.whole() ? ListKind.FULL : ListKind.DELTA, list);
+  public void news(EndpointList list) {
+    news(list.full() ? EndpointListUpdate.Kind.FULL : EndpointListUpdate.Kind.DELTA, list);
   }
 
-  private void news(ListKind kind, HostList list) {
-    upstreams.news(kind != ListKind.DELTA, list.hosts());
-    tell(new ListNews(kind, list.hosts().stream().map(HostList.Host::listed).toList()));
+  private void news(EndpointListUpdate.Kind kind, EndpointList list) {
+    upstreams.news(kind != EndpointListUpdate.Kind.DELTA, list.endpoints());
+    tell(
+        new EndpointListUpdate(
+            kind, list.endpoints().stream().map(EndpointList.Host::descriptor).toList()));
   }
 
-  void watchFailed() {
-    tell(new ListNews(ListKind.FAILED, List.of()));
+  public void watchFailed() {
+    tell(new EndpointListUpdate(EndpointListUpdate.Kind.FAILED, List.of()));
   }
 
   // ---- The module
@@ -227,10 +239,10 @@
     handling = true;
     try {
       for (Event next = events.poll(); next != null; next = events.poll()) {
-        taking = next instanceof Request;
+        taking = next instanceof RequestArrived;
         module.handle(clock.now(), next, this::perform);
       }
-      over.stream().filter(OpenRequest::over).forEach(r -> table.remove(r.request.id(), r));
+      over.stream().filter(OpenRequest::over).forEach(r -> table.remove(r.request.requestId(), r));
       over.clear();
     } catch (RuntimeException e) {
       defect.accept(e);
@@ -244,29 +256,29 @@
    * them.
    */
   private void perform(Action action) {
-    if (action instanceof Send a) {
+    if (action instanceof ForwardAttempt a) {
       send(a);
-    } else if (action instanceof Cancel a) {
+    } else if (action instanceof CancelAttempt a) {
       cancel(a);
-    } else if (action instanceof Refuse a) {
-      OpenRequest r = table.get(a.id());
+    } else if (action instanceof RejectRequest a) {
+      OpenRequest r = table.get(a.requestId());
       if (r != null && end(r)) {
         refuse(r, a.retryAfterNanos());
       }
-    } else if (action instanceof Fail a) {
-      OpenRequest r = table.get(a.id());
+    } else if (action instanceof FailRequest a) {
+      OpenRequest r = table.get(a.requestId());
       if (r != null && end(r)) {
         fail(r);
       }
     } else if (action instanceof SetTimer a) {
       loop.schedule(
-          () -> tell(new TimerFired(a.token())),
-          Math.max(0, a.atNanos() - clock.now()),
+          () -> tell(new TimerFired(a.timerId())),
+          Math.max(0, a.fireAtNanos() - clock.now()),
           TimeUnit.NANOSECONDS);
-    } else if (action instanceof Watch a) {
-      watch.accept(a.on());
-    } else if (action instanceof Balancer.Log a) {
-      Log.caused("module: " + a.text());
+    } else if (action instanceof WatchEndpoints a) {
+      watch.accept(a.enabled());
+    } else if (action instanceof LogMessage a) {
+      EventLog.caused("module: " + a.text());
     } else {
       throw new IllegalStateException(
           "the module asked for what this balancer has no use of: "
@@ -274,9 +286,9 @@
     }
   }
 
-  private void send(Send a) {
-    OpenRequest r = table.get(a.id());
-    UpstreamTable.Entry upstream = upstreams.get(a.upstream());
+  private void send(ForwardAttempt a) {
+    OpenRequest r = table.get(a.requestId());
+    EndpointTable.Entry upstream = upstreams.get(a.endpointId());
     if (r == null || upstream == null) {
       throw new IllegalStateException(
           "the module sent an unknown request or to an unknown upstream");
@@ -284,7 +296,7 @@
     UpstreamAttempt attempt =
         new UpstreamAttempt(
             r.attempts.size(),
-            a.upstream(),
+            a.endpointId(),
             clock.now(),
             upstream.pool(),
             (ended, status, answer) -> {
@@ -309,55 +321,57 @@
    * Asked of the client's socket, since its end may still be unread: the loop that is behind sees
    * it late.
    */
-  private boolean maySend(OpenRequest r, UpstreamTable.Entry upstream) {
+  private boolean maySend(OpenRequest r, EndpointTable.Entry upstream) {
     if (!r.ended && !r.client.here() && end(r)) {
       counters.left();
     }
     return !r.ended && !upstream.leaving() && r.repeatIsHarmless(clock.now());
   }
 
-  private void cancel(Cancel a) {
-    OpenRequest r = table.get(a.id());
+  private void cancel(CancelAttempt a) {
+    OpenRequest r = table.get(a.requestId());
     if (r != null && a.attempt() < r.attempts.size()) {
-      r.attempts.get(a.attempt()).end(Status.CANCELLED, null);
+      r.attempts.get(a.attempt()).end(AttemptStatus.CANCELLED, null);
     }
   }
 
   private void ended(
       OpenRequest r,
-      UpstreamTable.Entry upstream,
+      EndpointTable.Entry upstream,
       UpstreamAttempt attempt,
-      Status status,
-      Answer answer) {
-    if (status == Status.SERVED && end(r)) {
+      AttemptStatus status,
+      UpstreamResponse answer) {
+    if (status == AttemptStatus.SERVED && end(r)) {
       r.client.served(answer);
     }
     over.add(r);
     long latency = attempt.latencyNanos(clock.now() - lag.waitNanos());
     counters.ended(
         attempt.address(),
-        kindOf(upstream.listed()),
+        kindOf(upstream.descriptor()),
         status,
-        attempt.stale(),
+        attempt.foundStaleConnection(),
         attempt.unsentNanos(),
         latency);
     counters.lag(lag.lateNanos());
     tell(
-        new Outcome(
-            r.request.id(),
+        new AttemptCompleted(
+            r.request.requestId(),
             attempt.number,
             attempt.upstream,
             status,
             latency,
             r.ended,
             Map.of(),
-            attempt.stale()));
+            attempt.foundStaleConnection()));
   }
 
-  private Counters.Kind kindOf(Listed upstream) {
-    boolean cold = clock.now() - upstream.startedNanos() < settings.contract().warmWithinNanos();
+  private TrafficCounters.Kind kindOf(EndpointDescriptor upstream) {
+    boolean cold = clock.now() - upstream.startedNanos() < settings.serviceRules().warmUpNanos();
     return cold
-        ? Counters.Kind.COLD
-        : upstream.zone().equals(settings.zone()) ? Counters.Kind.NEAR : Counters.Kind.AWAY;
+        ? TrafficCounters.Kind.COLD
+        : upstream.zone().equals(settings.zone())
+            ? TrafficCounters.Kind.NEAR
+            : TrafficCounters.Kind.AWAY;
   }
 }
--- a/src/main/java/pumicekeel/node/Discovery.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.discovery;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -26,13 +26,15 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import pumicekeel.adapter.Fields;
+import loadbalancer.config.EndpointList;
+import loadbalancer.config.JsonObjectReader;
+import loadbalancer.proxy.telemetry.EventLog;
 
 /**
  * The watch on discovery. Each call of {@link #watch} ends in news or in one failure; asking again
  * after a failure, and how soon, is the module's decision.
  */
-final class Discovery {
+public final class DiscoveryClient {
 
   private static final long HEARTBEAT_MILLIS = 2_000;
 
@@ -44,7 +46,7 @@
    * tell counts as told 6 s after the last one: by then another watch has to be on, which the
    * module's back-off may put off by a second.
    */
-  static final long SILENCE_MILLIS = 2 * HEARTBEAT_MILLIS + LATE_MILLIS;
+  public static final long SILENCE_MILLIS = 2 * HEARTBEAT_MILLIS + LATE_MILLIS;
 
   /**
    * A call, from the start of its connect, until it has told something: the agent answers at once,
@@ -52,7 +54,7 @@
    * there is to tell counts as told 4 s later: a call at the new address that nobody answers has to
    * end with time left for a back-off and another one.
    */
-  static final long CALL_MILLIS = HEARTBEAT_MILLIS + LATE_MILLIS;
+  public static final long CALL_MILLIS = HEARTBEAT_MILLIS + LATE_MILLIS;
 
   /** No version of the list is known, so all of it is asked for. */
   private static final long NO_INDEX = -1;
@@ -61,33 +63,33 @@
   private final ChannelFactory<Channel> sockets;
   private final long callMillis;
   private final long silenceMillis;
-  private final Consumer<HostList> news;
+  private final Consumer<EndpointList> news;
   private final Runnable failed;
   private InetSocketAddress address;
   private long index;
   private boolean wanted;
   private Channel current;
 
-  Discovery(
+  public DiscoveryClient(
       EventLoop loop,
       InetSocketAddress address,
       long index,
       long callMillis,
       long silenceMillis,
-      Consumer<HostList> news,
+      Consumer<EndpointList> news,
       Runnable failed) {
     this(loop, NioSocketChannel::new, address, index, callMillis, silenceMillis, news, failed);
   }
 
   /** One whose sockets {@code sockets} makes. */
-  Discovery(
+  public DiscoveryClient(
       EventLoop loop,
       ChannelFactory<Channel> sockets,
       InetSocketAddress address,
       long index,
       long callMillis,
       long silenceMillis,
-      Consumer<HostList> news,
+      Consumer<EndpointList> news,
       Runnable failed) {
     this.loop = loop;
     this.sockets = sockets;
@@ -100,7 +102,7 @@
   }
 
   /** Starts a watch, unless one is on already, or ends it. */
-  void watch(boolean on) {
+  public void watch(boolean on) {
     wanted = on;
     if (!on) {
       stop();
@@ -114,7 +116,7 @@
    * module would still wait after a failure of the old one; versions of the list there have nothing
    * to do with those here.
    */
-  void moveTo(InetSocketAddress next) {
+  public void moveTo(InetSocketAddress next) {
     if (next.equals(address)) {
       return;
     }
@@ -136,7 +138,7 @@
   }
 
   private void connect() {
-    ListDecoder lists = new ListDecoder();
+    EndpointListDecoder lists = new EndpointListDecoder();
     WatchHandler handler = new WatchHandler(lists);
     ChannelFuture connecting =
         new Bootstrap()
@@ -177,7 +179,7 @@
    * tell of its end.
    */
   private final class WatchHandler extends SimpleChannelInboundHandler<Object> {
-    private final ListDecoder lists;
+    private final EndpointListDecoder lists;
     private Channel channel;
 
     /**
@@ -188,13 +190,13 @@
 
     private ScheduledFuture<?> firstDue;
 
-    WatchHandler(ListDecoder lists) {
+    WatchHandler(EndpointListDecoder lists) {
       this.lists = lists;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      Log.caused(
+      EventLog.caused(
           "discovery: watches " + address + (index == NO_INDEX ? "" : " from version " + index));
       DefaultFullHttpRequest request =
           new DefaultFullHttpRequest(
@@ -272,10 +274,10 @@
     }
 
     private void read(String text) throws IOException {
-      HostList list = HostList.of(Fields.parse("list", text));
-      index = list.index();
+      EndpointList list = EndpointList.of(JsonObjectReader.parse("list", text));
+      index = list.version();
       heard();
-      Log.caused("discovery: " + list);
+      EventLog.caused("discovery: " + list);
       news.accept(list);
     }
 
@@ -295,7 +297,7 @@
       close(channel);
       if (current == channel) {
         current = null;
-        Log.caused("discovery: watch failed: " + why);
+        EventLog.caused("discovery: watch failed: " + why);
         failed.run();
       }
     }
--- a/src/main/java/pumicekeel/node/ListDecoder.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListDecoder.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.discovery;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.http.HttpContent;
@@ -8,14 +8,14 @@
  * Cuts the body of a watch's answer into lists, wherever its chunks and its lines end: a list may
  * come indented over several lines. Whole lists go on ahead of the message that completed them.
  */
-final class ListDecoder extends JsonObjectDecoder {
+final class EndpointListDecoder extends JsonObjectDecoder {
 
   /** Far above any list; one without an end must not fill the memory. */
   private static final int MAX_LIST = 4 << 20;
 
   private boolean blank;
 
-  ListDecoder() {
+  EndpointListDecoder() {
     super(MAX_LIST);
   }
 
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/discovery/package-info.java
@@ -0,0 +1,2 @@
+/** The watch of the endpoint list at the discovery service. All state belongs to the event loop. */
+package loadbalancer.proxy.discovery;
--- a/src/main/java/pumicekeel/node/ClientHandler.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.downstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -22,10 +22,17 @@
 import java.math.BigDecimal;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.proxy.coordinator.DownstreamClient;
+import loadbalancer.proxy.http.ClientRequest;
+import loadbalancer.proxy.http.InvalidRequestException;
+import loadbalancer.proxy.http.UpstreamResponse;
+import loadbalancer.proxy.telemetry.EventLog;
+import loadbalancer.proxy.transport.PeekableSocketChannel;
+import loadbalancer.proxy.transport.RawBytesFilter;
 
 /** One client connection: reads a request at a time, hands it to the core and writes its answer. */
-final class ClientHandler extends SimpleChannelInboundHandler<HttpObject>
-    implements Client, RawReader {
+public final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
+    implements DownstreamClient, RawBytesFilter {
 
   /**
    * A client that was told of its mistake is not read for so long: it may well ask the same again
@@ -39,7 +46,7 @@
    */
   private static final int MOST_DROPPED = 64 << 10;
 
-  private final ClientSide side;
+  private final DownstreamServer side;
   private ChannelHandlerContext ctx;
   private HttpRequest head;
   private ByteArrayOutputStream body;
@@ -64,7 +71,7 @@
   /** When the socket took no more of an answer; 0 while it does. */
   private long stuckSince;
 
-  ClientHandler(ClientSide side) {
+  public ClientConnection(DownstreamServer side) {
     this.side = side;
   }
 
@@ -74,12 +81,12 @@
   }
 
   /** Nothing of a request has come that has no answer yet. */
-  boolean idle() {
+  public boolean idle() {
     return untaken() && partSince == 0;
   }
 
   /** No whole request has come that has no answer yet, and no last answer is on its way out. */
-  boolean untaken() {
+  public boolean untaken() {
     return waiting == null && !discarding;
   }
 
@@ -126,7 +133,8 @@
   @Override
   public boolean here() {
     int most = (int) (MOST_DROPPED + 1 - dropped);
-    int skipped = ctx.channel() instanceof PeerSocket socket && most > 0 ? socket.skip(most) : 0;
+    int skipped =
+        ctx.channel() instanceof PeekableSocketChannel socket && most > 0 ? socket.skip(most) : 0;
     if (skipped > 0) {
       drop(skipped);
     } else if (skipped < 0) {
@@ -192,7 +200,7 @@
     }
     if (message instanceof HttpContent part && head != null) {
       part.content().readBytes(body, part.content().readableBytes());
-      if (body.size() > Answer.MAX_BODY) {
+      if (body.size() > UpstreamResponse.MAX_BODY) {
         reject(413, "body over 64 KiB");
       } else if (message instanceof LastHttpContent) {
         whole();
@@ -209,9 +217,9 @@
       return;
     }
     try {
-      RequestHead.check(next);
-    } catch (ClientRequest.Bad e) {
-      reject(e.status, e.getMessage());
+      RequestHeadValidator.check(next);
+    } catch (InvalidRequestException e) {
+      reject(e.status(), e.getMessage());
       return;
     }
     head = next;
@@ -233,16 +241,16 @@
     }
     try {
       ClientRequest taken = ClientRequest.of(request, body.toByteArray(), side.settings());
-      waiting = taken.id();
+      waiting = taken.requestId();
       if (!side.take(taken, this)) {
         waiting = null;
-        throw new ClientRequest.Bad(409, "this id is open already");
+        throw new InvalidRequestException(409, "this id is open already");
       }
       readOn();
-    } catch (ClientRequest.Bad e) {
+    } catch (InvalidRequestException e) {
       // No body to an answer to HEAD: it would be taken for the next answer.
       String why = request.method().equals(HttpMethod.HEAD) ? "" : e.getMessage();
-      write(e.status, why.getBytes(StandardCharsets.UTF_8), "text/plain", 0);
+      write(e.status(), why.getBytes(StandardCharsets.UTF_8), "text/plain", 0);
       pause();
     }
   }
@@ -286,7 +294,7 @@
   }
 
   @Override
-  public void served(Answer answer) {
+  public void served(UpstreamResponse answer) {
     write(200, answer.body(), answer.contentType(), 0);
   }
 
@@ -346,7 +354,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      Log.caused("client " + context.channel().remoteAddress() + ": " + cause);
+      EventLog.caused("client " + context.channel().remoteAddress() + ": " + cause);
     }
     context.close();
   }
--- a/src/main/java/pumicekeel/node/ClientLimits.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ConnectionTimeouts.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.downstream;
 
 import io.netty.channel.EventLoop;
 import java.util.Comparator;
@@ -9,7 +9,7 @@
  * request's end, stay for ever, and once they hold all descriptors nobody is accepted any more. One
  * look at all of them now and then costs less than timers of each one's own.
  */
-final class ClientLimits {
+final class ConnectionTimeouts {
 
   private static final long MILLI = 1_000_000L;
 
@@ -40,10 +40,10 @@
   private static final long STUCK_NANOS = 5_000 * MILLI;
 
   private final EventLoop loop;
-  private final ClientSide side;
+  private final DownstreamServer side;
   private final int most;
 
-  ClientLimits(EventLoop loop, ClientSide side, int most) {
+  ConnectionTimeouts(EventLoop loop, DownstreamServer side, int most) {
     this.loop = loop;
     this.side = side;
     this.most = most;
@@ -55,7 +55,7 @@
 
   private void look() {
     long now = System.nanoTime();
-    for (ClientHandler c : side.connections()) {
+    for (ClientConnection c : side.connections()) {
       long coming = c.comingFor(now);
       if (c.stuckFor(now) > STUCK_NANOS) {
         c.abort();
@@ -70,11 +70,11 @@
       side.connections().stream()
           .filter(c -> c.idle() && !c.neverAsked())
           .max(Comparator.comparingLong(c -> c.idleFor(now)))
-          .ifPresent(ClientHandler::close);
+          .ifPresent(ClientConnection::close);
     }
   }
 
-  private long longestIdle(ClientHandler c) {
+  private long longestIdle(ClientConnection c) {
     if (c.neverAsked()) {
       return full() ? SILENT_NANOS : REQUEST_NANOS;
     }
--- a/src/main/java/pumicekeel/node/ClientSide.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.downstream;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -11,10 +11,14 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import pumicekeel.Balancer.Settings;
+import loadbalancer.policy.settings.PolicySettings;
+import loadbalancer.proxy.coordinator.DownstreamClient;
+import loadbalancer.proxy.coordinator.RequestCoordinator;
+import loadbalancer.proxy.http.ClientRequest;
+import loadbalancer.proxy.transport.PeekableServerSocketChannel;
 
 /** The listening side: client connections, readiness, and the end of both at a planned stop. */
-final class ClientSide {
+public final class DownstreamServer {
 
   private static final int BACKLOG = 1024;
 
@@ -33,12 +37,12 @@
   private static final int ACCEPTS_IN_A_ROW = 1;
 
   private final EventLoop loop;
-  private final Settings settings;
-  private final BalancerCore core;
+  private final PolicySettings settings;
+  private final RequestCoordinator core;
   private final int most;
 
   /** The connection that got its last answer longest ago comes first. */
-  private final Set<ClientHandler> connections = new LinkedHashSet<>();
+  private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
   private Channel listener;
   private boolean ready;
@@ -50,7 +54,12 @@
    * At most so many connections; {@code warmUpPath} is answered as {@code /up} until this side is
    * ready.
    */
-  ClientSide(EventLoop loop, Settings settings, BalancerCore core, int most, String warmUpPath) {
+  public DownstreamServer(
+      EventLoop loop,
+      PolicySettings settings,
+      RequestCoordinator core,
+      int most,
+      String warmUpPath) {
     this.loop = loop;
     this.settings = settings;
     this.core = core;
@@ -59,11 +68,11 @@
   }
 
   /** Listens; waits for the bind, so it is not to be called on the loop. */
-  InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
+  public InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
     listener =
         new ServerBootstrap()
             .group(loop, loop)
-            .channelFactory(ClientListener::new)
+            .channelFactory(PeekableServerSocketChannel::new)
             .option(ChannelOption.SO_BACKLOG, BACKLOG)
             .option(ChannelOption.SO_REUSEADDR, true)
             .option(
@@ -77,7 +86,7 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    ClientHandler handler = new ClientHandler(ClientSide.this);
+                    ClientConnection handler = new ClientConnection(DownstreamServer.this);
                     channel
                         .pipeline()
                         .addLast(new RequestDecoder(handler), new HttpResponseEncoder(), handler);
@@ -87,11 +96,11 @@
             .bind(address)
             .sync()
             .channel();
-    loop.execute(new ClientLimits(loop, this, most)::start);
+    loop.execute(new ConnectionTimeouts(loop, this, most)::start);
     return (InetSocketAddress) listener.localAddress();
   }
 
-  void setReady() {
+  public void setReady() {
     ready = true;
     warmUpPath = null;
   }
@@ -105,7 +114,7 @@
     return closing;
   }
 
-  Settings settings() {
+  public PolicySettings settings() {
     return settings;
   }
 
@@ -118,15 +127,15 @@
   }
 
   /** All connections, the one that got its last answer longest ago first. */
-  List<ClientHandler> connections() {
+  public List<ClientConnection> connections() {
     return List.copyOf(connections);
   }
 
-  int open() {
+  public int open() {
     return connections.size();
   }
 
-  boolean take(ClientRequest request, Client client) {
+  boolean take(ClientRequest request, DownstreamClient client) {
     return core.take(request, client);
   }
 
@@ -137,26 +146,26 @@
   /**
    * At the limit the longest idle connection gives way at once, or a crowd of clients, and the
    * front's question whether this balancer is up, would wait in line; with none nothing is accepted
-   * until {@link ClientLimits} has made room.
+   * until {@link ConnectionTimeouts} has made room.
    */
-  private void opened(ClientHandler handler) {
+  private void opened(ClientConnection handler) {
     connections.add(handler);
     if (connections.size() >= most) {
       connections.stream()
           .filter(c -> c != handler && c.idle() && !c.neverAsked())
           .findFirst()
-          .ifPresentOrElse(ClientHandler::close, () -> listener.config().setAutoRead(false));
+          .ifPresentOrElse(ClientConnection::close, () -> listener.config().setAutoRead(false));
     }
   }
 
-  void closed(ClientHandler handler) {
+  void closed(ClientConnection handler) {
     connections.remove(handler);
     if (connections.size() < most && listener != null && listener.isOpen()) {
       listener.config().setAutoRead(true);
     }
   }
 
-  void becameIdle(ClientHandler handler) {
+  void becameIdle(ClientConnection handler) {
     if (connections.remove(handler)) {
       connections.add(handler);
     }
@@ -166,12 +175,12 @@
    * Begins a planned stop: the front is told to send no more clients; those that are here are
    * served on.
    */
-  void drain() {
+  public void drain() {
     draining = true;
   }
 
   /** Accepts no more. */
-  void stopListening() {
+  public void stopListening() {
     listener.close();
   }
 
@@ -180,18 +189,20 @@
    * request that has come in part is owed its answer once it is whole; so is the first one of a new
    * connection, which may be on its way.
    */
-  void closeIdle() {
+  public void closeIdle() {
     closing = true;
-    connections().stream().filter(c -> c.idle() && !c.neverAsked()).forEach(ClientHandler::close);
+    connections().stream()
+        .filter(c -> c.idle() && !c.neverAsked())
+        .forEach(ClientConnection::close);
   }
 
   /**
    * Waits no longer for what has not come whole: a slow sender must not keep the process from its
    * end.
    */
-  void endUntaken() {
+  public void endUntaken() {
     connections().stream()
-        .filter(ClientHandler::untaken)
+        .filter(ClientConnection::untaken)
         .forEach(
             c -> {
               if (c.idle()) {
--- a/src/main/java/pumicekeel/node/RequestDecoder.java
+++ b/src/main/java/loadbalancer/proxy/downstream/RequestDecoder.java
@@ -1,17 +1,18 @@
-package pumicekeel.node;
+package loadbalancer.proxy.downstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.util.ReferenceCountUtil;
+import loadbalancer.proxy.transport.RawBytesFilter;
 
 /** Reads requests strictly, and shows the raw bytes to the connection's handler first. */
-final class RequestDecoder extends HttpRequestDecoder {
+public final class RequestDecoder extends HttpRequestDecoder {
 
-  private final RawReader reader;
+  private final RawBytesFilter reader;
 
-  RequestDecoder(RawReader reader) {
+  public RequestDecoder(RawBytesFilter reader) {
     super(new HttpDecoderConfig().setStrictLineParsing(true));
     this.reader = reader;
   }
--- a/src/main/java/pumicekeel/node/Reload.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.lifecycle;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -11,6 +11,8 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import loadbalancer.config.ProxyConfiguration;
+import loadbalancer.proxy.telemetry.EventLog;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -18,7 +20,7 @@
  * SIGHUP: reads the configuration again. Without it Java's answer to that signal is to end, as at
  * SIGTERM.
  */
-final class Reload {
+final class ConfigurationReloader {
 
   /**
    * Period of the looks where no signal can come: short against the 1.5 s that discovery's old
@@ -27,12 +29,13 @@
   private static final long LOOK_MILLIS = 500;
 
   private final Map<String, String> environment;
-  private final Consumer<Configuration> next;
+  private final Consumer<ProxyConfiguration> next;
 
   /** What the file was when it was last looked at. */
   private List<Object> seen = List.of();
 
-  private Reload(Map<String, String> environment, Consumer<Configuration> next) {
+  private ConfigurationReloader(
+      Map<String, String> environment, Consumer<ProxyConfiguration> next) {
     this.environment = environment;
     this.next = next;
   }
@@ -42,8 +45,8 @@
    * changes nothing. A thread of its own reads the file, since the event loop must not wait for it,
    * and one alone, or an older reading could overtake a newer one.
    */
-  static void onHangup(Map<String, String> environment, Consumer<Configuration> next) {
-    Reload reload = new Reload(environment, next);
+  static void onHangup(Map<String, String> environment, Consumer<ProxyConfiguration> next) {
+    ConfigurationReloader reload = new ConfigurationReloader(environment, next);
     ScheduledExecutorService reader =
         Executors.newSingleThreadScheduledExecutor(
             work -> {
@@ -55,7 +58,7 @@
     if (before.equals(SignalHandler.SIG_IGN)) {
       // Java leaves a signal alone that its parent ignored, as nohup does, and nothing in Java can
       // change that.
-      Log.line(
+      EventLog.line(
           "reload: started with SIGHUP ignored, so the configuration is read again when its file"
               + " changes");
       reload.changed();
@@ -88,9 +91,9 @@
 
   private void read() {
     try {
-      next.accept(Configuration.reread(environment));
+      next.accept(ProxyConfiguration.reread(environment));
     } catch (IOException | RuntimeException e) {
-      Log.line("reload: the configuration stays as it was: " + e);
+      EventLog.line("reload: the configuration stays as it was: " + e);
     }
   }
 }
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.lifecycle;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioIoHandler;
@@ -8,10 +8,19 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import pumicekeel.AdaptiveBalancer;
+import loadbalancer.config.ProxyConfiguration;
+import loadbalancer.policy.AdaptiveLoadBalancingPolicy;
+import loadbalancer.proxy.coordinator.RequestCoordinator;
+import loadbalancer.proxy.discovery.DiscoveryClient;
+import loadbalancer.proxy.downstream.DownstreamServer;
+import loadbalancer.proxy.telemetry.EventLog;
+import loadbalancer.proxy.telemetry.EventLoopLag;
+import loadbalancer.proxy.transport.EpochClock;
+import loadbalancer.proxy.transport.MillisecondEventLoop;
+import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
 /** One real balancer: the module on sockets, all of it on one event-loop thread. */
-public final class Node {
+public final class ProxyServer {
 
   /**
    * Shares of the sockets for clients and for upstreams; the rest is for discovery and the process
@@ -37,47 +46,47 @@
   /** Often enough to tell a bad stretch from a good one, and 20,000 lines a day at most. */
   private static final long REPORT_MILLIS = 5_000;
 
-  private final EventLoop loop = new RoundedEventLoop(NioIoHandler.newFactory());
-  private final LoopLag lag = new LoopLag(loop);
-  private final Configuration configuration;
+  private final EventLoop loop = new MillisecondEventLoop(NioIoHandler.newFactory());
+  private final EventLoopLag lag = new EventLoopLag(loop);
+  private final ProxyConfiguration configuration;
   private final Runnable crash;
-  private final BalancerCore core;
-  private final ClientSide clients;
+  private final RequestCoordinator core;
+  private final DownstreamServer clients;
   private final String warmUpPath = WarmUp.newPath();
-  private final Discovery discovery;
+  private final DiscoveryClient discovery;
   private final CountDownLatch ready = new CountDownLatch(1);
   private final CountDownLatch drained = new CountDownLatch(1);
 
   /** Makes a balancer; {@code crash} ends the process after a defect of the module. */
-  Node(Configuration configuration, Runnable crash) {
+  public ProxyServer(ProxyConfiguration configuration, Runnable crash) {
     this.configuration = configuration;
     this.crash = crash;
     var settings = configuration.settings();
-    ConnectionPool pool =
-        new ConnectionPool(
+    UpstreamConnectionPools pool =
+        new UpstreamConnectionPools(
             loop,
             settings.limits().connectTimeoutNanos(),
-            settings.limits().connectionIdleNanos(),
+            settings.limits().connectionIdleTimeoutNanos(),
             (int) (configuration.sockets() * UPSTREAM_SHARE));
     core =
-        new BalancerCore(
+        new RequestCoordinator(
             settings,
-            new AdaptiveBalancer(settings, configuration.seed()),
-            new Clock(),
+            new AdaptiveLoadBalancingPolicy(settings, configuration.seed()),
+            new EpochClock(),
             loop,
             lag,
             pool,
             this::defect);
     clients =
-        new ClientSide(
+        new DownstreamServer(
             loop, settings, core, (int) (configuration.sockets() * CLIENT_SHARE), warmUpPath);
     discovery =
-        new Discovery(
+        new DiscoveryClient(
             loop,
             configuration.discovery(),
-            configuration.known().index(),
-            Discovery.CALL_MILLIS,
-            Discovery.SILENCE_MILLIS,
+            configuration.known().version(),
+            DiscoveryClient.CALL_MILLIS,
+            DiscoveryClient.SILENCE_MILLIS,
             core::news,
             core::watchFailed);
   }
@@ -88,11 +97,11 @@
    */
   public static int serve(Map<String, String> environment, PrintStream err)
       throws InterruptedException {
-    Node node;
+    ProxyServer node;
     try {
-      Configuration configuration = Configuration.read(environment);
-      node = new Node(configuration, () -> Runtime.getRuntime().halt(1));
-      Reload.onHangup(environment, node::reload);
+      ProxyConfiguration configuration = ProxyConfiguration.read(environment);
+      node = new ProxyServer(configuration, () -> Runtime.getRuntime().halt(1));
+      ConfigurationReloader.onHangup(environment, node::reload);
       node.start();
     } catch (IOException | RuntimeException e) {
       err.println(
@@ -120,14 +129,15 @@
   /** Starts as {@code serve} does and ends once ready: what the class-data archive is made from. */
   public static int rehearse(Map<String, String> environment)
       throws IOException, InterruptedException {
-    Node node = new Node(Configuration.read(environment), () -> Runtime.getRuntime().halt(1));
+    ProxyServer node =
+        new ProxyServer(ProxyConfiguration.read(environment), () -> Runtime.getRuntime().halt(1));
     node.start();
     node.ready.await();
     return 0;
   }
 
   /** Listens and follows the list; the address that clients connect to. */
-  InetSocketAddress start() throws InterruptedException {
+  public InetSocketAddress start() throws InterruptedException {
     InetSocketAddress address = clients.listen(configuration.listen());
     loop.execute(
         () -> {
@@ -142,11 +152,11 @@
               warmUpPath,
               configuration.settings(),
               requests -> {
-                Log.line("warmed up with " + requests + " requests");
+                EventLog.line("warmed up with " + requests + " requests");
                 clients.setReady();
                 loop.scheduleAtFixedRate(
                     core::report, REPORT_MILLIS, REPORT_MILLIS, TimeUnit.MILLISECONDS);
-                Log.line(
+                EventLog.line(
                     configuration.name()
                         + " of zone "
                         + configuration.settings().zone()
@@ -162,10 +172,10 @@
    * Takes over from a new configuration what may change while the balancer runs: the address of
    * discovery.
    */
-  void reload(Configuration next) {
+  void reload(ProxyConfiguration next) {
     loop.execute(
         () -> {
-          Log.line(configuration.name() + " reloads: discovery at " + next.discovery());
+          EventLog.line(configuration.name() + " reloads: discovery at " + next.discovery());
           discovery.moveTo(next.discovery());
         });
   }
@@ -174,13 +184,13 @@
   void drain() {
     loop.execute(
         () -> {
-          Log.line(configuration.name() + " drains");
+          EventLog.line(configuration.name() + " drains");
           clients.drain();
           long end =
               END_MILLIS
                   + Math.min(
                       LONGEST_DEADLINE_MILLIS,
-                      configuration.settings().classes().stream()
+                      configuration.settings().requestClasses().stream()
                           .mapToLong(c -> TimeUnit.NANOSECONDS.toMillis(c.deadlineNanos()))
                           .max()
                           .orElse(0));
@@ -196,7 +206,7 @@
     clients.closeIdle();
     if (clients.open() == 0) {
       core.report();
-      Log.line(configuration.name() + " has drained");
+      EventLog.line(configuration.name() + " has drained");
       drained.countDown();
     } else {
       loop.schedule(this::endOnceIdle, POLL_MILLIS, TimeUnit.MILLISECONDS);
@@ -216,7 +226,7 @@
    * without it.
    */
   private void defect(RuntimeException e) {
-    Log.line(
+    EventLog.line(
         "defect of the module: "
             + e
             + " at "
--- a/src/main/java/pumicekeel/node/WarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.lifecycle;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.EventLoop;
@@ -11,13 +11,23 @@
 import java.util.UUID;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntConsumer;
-import pumicekeel.AdaptiveBalancer;
-import pumicekeel.Balancer.DedupScope;
-import pumicekeel.Balancer.Effect;
-import pumicekeel.Balancer.Listed;
-import pumicekeel.Balancer.RequestClass;
-import pumicekeel.Balancer.Settings;
-import pumicekeel.Balancer.State;
+import loadbalancer.config.EndpointList;
+import loadbalancer.policy.AdaptiveLoadBalancingPolicy;
+import loadbalancer.policy.event.EndpointDescriptor;
+import loadbalancer.policy.event.EndpointStatus;
+import loadbalancer.policy.settings.DeduplicationScope;
+import loadbalancer.policy.settings.PolicySettings;
+import loadbalancer.policy.settings.RequestClass;
+import loadbalancer.policy.settings.RequestEffect;
+import loadbalancer.proxy.coordinator.RequestCoordinator;
+import loadbalancer.proxy.downstream.ClientConnection;
+import loadbalancer.proxy.downstream.DownstreamServer;
+import loadbalancer.proxy.downstream.RequestDecoder;
+import loadbalancer.proxy.http.ClientRequest;
+import loadbalancer.proxy.telemetry.EventLog;
+import loadbalancer.proxy.telemetry.EventLoopLag;
+import loadbalancer.proxy.transport.EpochClock;
+import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
 /**
  * Guards the first clients from a cold JVM: before the balancer says that it is up, made-up
@@ -42,10 +52,10 @@
 
   private final EventLoop loop;
   private final String path;
-  private final Clock clock = new Clock();
-  private final ConnectionPool pool;
-  private final BalancerCore core;
-  private final ClientSide side;
+  private final EpochClock clock = new EpochClock();
+  private final UpstreamConnectionPools pool;
+  private final RequestCoordinator core;
+  private final DownstreamServer side;
   private final IntConsumer done;
   private final long endAt = clock.now() + LONGEST_NANOS;
   private final List<EmbeddedChannel> clients = new ArrayList<>();
@@ -57,10 +67,10 @@
    */
   static void run(
       EventLoop loop,
-      LoopLag lag,
+      EventLoopLag lag,
       InetSocketAddress self,
       String path,
-      Settings settings,
+      PolicySettings settings,
       IntConsumer done) {
     new WarmUp(loop, lag, path, settings, done).start(self);
   }
@@ -73,15 +83,16 @@
     return "/" + UUID.randomUUID();
   }
 
-  private WarmUp(EventLoop loop, LoopLag lag, String path, Settings real, IntConsumer done) {
+  private WarmUp(
+      EventLoop loop, EventLoopLag lag, String path, PolicySettings real, IntConsumer done) {
     this.loop = loop;
     this.path = path;
     this.done = done;
     RequestClass type =
         new RequestClass(
             path.substring(1),
-            Effect.SAFE,
-            DedupScope.ALL,
+            RequestEffect.IDEMPOTENT,
+            DeduplicationScope.ALL,
             SECOND,
             SECOND,
             0,
@@ -89,42 +100,44 @@
             1,
             0,
             false);
-    Settings settings =
-        new Settings(
+    PolicySettings settings =
+        new PolicySettings(
             0,
             1,
             real.zone(),
             List.of(type),
             real.tenants(),
             real.limits(),
-            real.contract(),
-            real.prices(),
+            real.serviceRules(),
+            real.costs(),
             false,
             real.weightKind(),
-            real.overShareWorth(),
-            real.warmKeys(),
-            real.tickNanos());
-    pool = new ConnectionPool(loop, SECOND, SECOND, AT_ONCE);
+            real.overQuotaWeight(),
+            real.endpointsCacheKeys(),
+            real.clockResolutionNanos());
+    pool = new UpstreamConnectionPools(loop, SECOND, SECOND, AT_ONCE);
     core =
-        new BalancerCore(
+        new RequestCoordinator(
             settings,
-            new AdaptiveBalancer(settings, 0),
+            new AdaptiveLoadBalancingPolicy(settings, 0),
             clock,
             loop,
             lag,
             pool,
-            e -> Log.line("defect of the module while warming up: " + e));
-    side = new ClientSide(loop, settings, core, AT_ONCE, null);
+            e -> EventLog.line("defect of the module while warming up: " + e));
+    side = new DownstreamServer(loop, settings, core, AT_ONCE, null);
   }
 
   private void start(InetSocketAddress self) {
-    List<HostList.Host> hosts = new ArrayList<>();
+    List<EndpointList.Host> hosts = new ArrayList<>();
     for (int i = 0; i < UPSTREAMS; i++) {
-      hosts.add(new HostList.Host(self, new Listed(i, "", 0, State.READY, 0, 1)));
+      hosts.add(
+          new EndpointList.Host(
+              self, new EndpointDescriptor(i, "", 0, EndpointStatus.READY, 0, 1)));
     }
-    core.start(new HostList(0, true, hosts), on -> {});
+    core.start(new EndpointList(0, true, hosts), on -> {});
     for (int i = 0; i < AT_ONCE; i++) {
-      ClientHandler handler = new ClientHandler(side);
+      ClientConnection handler = new ClientConnection(side);
       clients.add(
           new EmbeddedChannel(new RequestDecoder(handler), new HttpResponseEncoder(), handler));
     }
@@ -139,7 +152,7 @@
       return;
     }
     for (EmbeddedChannel client : clients) {
-      if (client.pipeline().get(ClientHandler.class).idle()) {
+      if (client.pipeline().get(ClientConnection.class).idle()) {
         client.releaseOutbound();
         client.writeInbound(Unpooled.copiedBuffer(request(sent++), StandardCharsets.US_ASCII));
       }
--- a/src/main/java/pumicekeel/node/Log.java
+++ b/src/main/java/loadbalancer/proxy/telemetry/EventLog.java
@@ -1,11 +1,11 @@
-package pumicekeel.node;
+package loadbalancer.proxy.telemetry;
 
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
 /** The balancer's log: changes of state, a line each, on standard error. */
-final class Log {
+public final class EventLog {
 
   /**
    * Lines a second that peers may cause together: more tell nothing new, and a flood of them costs
@@ -16,10 +16,10 @@
   private static final AtomicLong SECOND = new AtomicLong();
   private static final AtomicInteger CAUSED = new AtomicInteger();
 
-  private Log() {}
+  private EventLog() {}
 
   /** A line that something on a socket caused: left out where there are too many. */
-  static void caused(String text) {
+  public static void caused(String text) {
     long second = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime());
     if (SECOND.getAndSet(second) != second) {
       CAUSED.set(0);
@@ -29,7 +29,7 @@
     }
   }
 
-  static void line(String text) {
+  public static void line(String text) {
     System.err.println(text.replace('\n', ' ').replace('\r', ' '));
   }
 }
--- a/src/main/java/pumicekeel/node/LoopLag.java
+++ b/src/main/java/loadbalancer/proxy/telemetry/EventLoopLag.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.telemetry;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
@@ -10,7 +10,7 @@
  * upstreams. It covers any pause of the process as well (a collection, a core that others use). It
  * hurts where upstreams are slow just as long as the loop is, by half of its lag at most.
  */
-final class LoopLag {
+public final class EventLoopLag {
 
   /** Short against any aim, and a hundred timers a second cost next to nothing. */
   private static final long PERIOD_NANOS = 10_000_000L;
@@ -22,7 +22,7 @@
   private long due;
   private long late;
 
-  LoopLag(EventLoop loop) {
+  public EventLoopLag(EventLoop loop) {
     this.loop = loop;
     loop.execute(this::next);
   }
@@ -40,12 +40,12 @@
   /**
    * How long what is read now has waited in its socket, on average; only for the loop's own thread.
    */
-  long waitNanos() {
+  public long waitNanos() {
     return lateNanos() / WAIT_PART;
   }
 
   /** How late the loop's timer is, or last was. */
-  long lateNanos() {
+  public long lateNanos() {
     return Math.max(late, System.nanoTime() - due);
   }
 }
--- a/src/main/java/pumicekeel/node/Counters.java
+++ b/src/main/java/loadbalancer/proxy/telemetry/TrafficCounters.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.telemetry;
 
 import java.net.InetSocketAddress;
 import java.util.Arrays;
@@ -7,13 +7,13 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.StringJoiner;
-import pumicekeel.Balancer.Status;
+import loadbalancer.policy.event.AttemptStatus;
 
 /**
  * What a balancer did since its last report: a line of the log, to set a good stretch beside a bad
  * one.
  */
-final class Counters {
+public final class TrafficCounters {
 
   private static final double MILLI = 1e6;
 
@@ -29,7 +29,7 @@
    * Upstreams as far as their latencies differ: of the balancer's zone, of another one, just
    * started in either.
    */
-  enum Kind {
+  public enum Kind {
     NEAR,
     AWAY,
     COLD
@@ -41,7 +41,7 @@
   }
 
   private final Map<InetSocketAddress, Upstream> upstreams = new HashMap<>();
-  private final int[] outcomes = new int[Status.values().length];
+  private final int[] outcomes = new int[AttemptStatus.values().length];
   private int taken;
   private int refusedAtOnce;
   private int refusedLater;
@@ -54,22 +54,22 @@
   private long timeoutNanos;
   private long lagNanos;
 
-  void taken() {
+  public void taken() {
     taken++;
   }
 
   /** A refusal; at once where no attempt was made and no time passed first. */
-  void refused(boolean atOnce) {
+  public void refused(boolean atOnce) {
     refusedAtOnce += atOnce ? 1 : 0;
     refusedLater += atOnce ? 0 : 1;
   }
 
-  void failed() {
+  public void failed() {
     failed++;
   }
 
   /** The client left first. */
-  void left() {
+  public void left() {
     left++;
   }
 
@@ -77,34 +77,34 @@
    * An attempt ended; {@code unsent} passed from the decision to its first byte, {@code latency}
    * from there on.
    */
-  void ended(
+  public void ended(
       InetSocketAddress address,
       Kind kind,
-      Status status,
+      AttemptStatus status,
       boolean foundStale,
       long unsent,
       long latency) {
     Upstream upstream = upstreams.computeIfAbsent(address, a -> new Upstream());
     upstream.attempts++;
-    upstream.unserved += status == Status.SERVED ? 0 : 1;
+    upstream.unserved += status == AttemptStatus.SERVED ? 0 : 1;
     outcomes[status.ordinal()]++;
     stale += foundStale ? 1 : 0;
     unsentNanos += unsent;
-    served[kind.ordinal()] += status == Status.SERVED ? 1 : 0;
-    servedNanos[kind.ordinal()] += status == Status.SERVED ? latency : 0;
-    timeoutNanos += status == Status.TIMEOUT ? latency : 0;
+    served[kind.ordinal()] += status == AttemptStatus.SERVED ? 1 : 0;
+    servedNanos[kind.ordinal()] += status == AttemptStatus.SERVED ? latency : 0;
+    timeoutNanos += status == AttemptStatus.TIMEOUT ? latency : 0;
   }
 
-  void lag(long nanos) {
+  public void lag(long nanos) {
     lagNanos = Math.max(lagNanos, nanos);
   }
 
   /** The line, after which all counts start again; null where nothing happened. */
-  String report() {
+  public String report() {
     int attempts = 0;
-    int timeouts = outcomes[Status.TIMEOUT.ordinal()];
+    int timeouts = outcomes[AttemptStatus.TIMEOUT.ordinal()];
     StringJoiner byStatus = new StringJoiner(" ");
-    for (Status s : Status.values()) {
+    for (AttemptStatus s : AttemptStatus.values()) {
       attempts += outcomes[s.ordinal()];
       byStatus.add(s.name().toLowerCase(Locale.ROOT) + " " + outcomes[s.ordinal()]);
       outcomes[s.ordinal()] = 0;
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/telemetry/package-info.java
@@ -0,0 +1,2 @@
+/** The log, the traffic counters and the measured lag of the event loop. */
+package loadbalancer.proxy.telemetry;
--- a/src/main/java/pumicekeel/node/RoundedEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/transport/MillisecondEventLoop.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.transport;
 
 import io.netty.channel.IoHandlerFactory;
 import io.netty.channel.SingleThreadIoEventLoop;
@@ -11,11 +11,11 @@
  * second with this balancer's timers. On a part of a core that is the time of requests. It costs a
  * timer less than a millisecond.
  */
-final class RoundedEventLoop extends SingleThreadIoEventLoop {
+public final class MillisecondEventLoop extends SingleThreadIoEventLoop {
 
   private static final long MILLI = 1_000_000L;
 
-  RoundedEventLoop(IoHandlerFactory handler) {
+  public MillisecondEventLoop(IoHandlerFactory handler) {
     super(null, new DefaultThreadFactory("loop"), handler);
   }
 
--- a/src/main/java/pumicekeel/node/ClientListener.java
+++ b/src/main/java/loadbalancer/proxy/transport/PeekableServerSocketChannel.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.transport;
 
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import java.io.IOException;
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** The listening socket: what it accepts can be asked whether its client is still there. */
-final class ClientListener extends NioServerSocketChannel {
+public final class PeekableServerSocketChannel extends NioServerSocketChannel {
 
   @Override
   protected int doReadMessages(List<Object> accepted) throws IOException {
@@ -14,7 +14,7 @@
     if (socket == null) {
       return 0;
     }
-    accepted.add(new PeerSocket(this, socket));
+    accepted.add(new PeekableSocketChannel(this, socket));
     return 1;
   }
 }
--- a/src/main/java/pumicekeel/node/PeerSocket.java
+++ b/src/main/java/loadbalancer/proxy/transport/PeekableSocketChannel.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.socket.nio.NioSocketChannel;
@@ -10,15 +10,15 @@
  * The socket of a connection to a client or an upstream, which can be asked what the event loop has
  * not read yet.
  */
-final class PeerSocket extends NioSocketChannel {
+public final class PeekableSocketChannel extends NioSocketChannel {
 
   private static final int SKIP_BYTES = 4096;
 
   /** A socket to connect. */
-  PeerSocket() {}
+  public PeekableSocketChannel() {}
 
   /** A socket that {@code listener} has accepted. */
-  PeerSocket(Channel listener, SocketChannel socket) {
+  public PeekableSocketChannel(Channel listener, SocketChannel socket) {
     super(listener, socket);
   }
 
@@ -26,7 +26,7 @@
    * What waits unread: 0 for nothing, 1 for bytes, of which this takes the first, and -1 for the
    * peer's end.
    */
-  int ahead() {
+  public int ahead() {
     try {
       return isActive() ? javaChannel().read(ByteBuffer.allocate(1)) : -1;
     } catch (IOException e) {
@@ -38,7 +38,7 @@
    * Takes what waits unread, at most so many bytes: how many that were, or -1 where the peer's end
    * lies behind them.
    */
-  int skip(int most) {
+  public int skip(int most) {
     int skipped = ahead();
     if (skipped <= 0) {
       return skipped;
--- a/src/main/java/pumicekeel/node/RawReader.java
+++ b/src/main/java/loadbalancer/proxy/transport/RawBytesFilter.java
@@ -1,9 +1,9 @@
-package pumicekeel.node;
+package loadbalancer.proxy.transport;
 
 import io.netty.buffer.ByteBuf;
 
 /** Told of a connection's raw bytes before they are decoded. */
-interface RawReader {
+public interface RawBytesFilter {
 
   /**
    * Whether these bytes may be part of what is due on the connection; otherwise they are dropped.
--- a/src/main/java/pumicekeel/node/UpstreamPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/EndpointConnectionPool.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.upstream;
 
 import io.netty.channel.ChannelFuture;
 import java.net.InetSocketAddress;
@@ -10,15 +10,15 @@
  * used first. It belongs to the upstream and not to its address: a successor at the same address
  * must not get its predecessor's.
  */
-final class UpstreamPool {
+final class EndpointConnectionPool {
 
-  private final ConnectionPool all;
+  private final UpstreamConnectionPools all;
   private final InetSocketAddress address;
   private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
   private boolean closed;
   private long heardAt = System.nanoTime();
 
-  UpstreamPool(ConnectionPool all, InetSocketAddress address) {
+  EndpointConnectionPool(UpstreamConnectionPools all, InetSocketAddress address) {
     this.all = all;
     this.address = address;
   }
--- a/src/main/java/pumicekeel/node/UpstreamTable.java
+++ b/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
@@ -1,23 +1,24 @@
-package pumicekeel.node;
+package loadbalancer.proxy.upstream;
 
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pumicekeel.Balancer.Listed;
-import pumicekeel.Balancer.State;
+import loadbalancer.config.EndpointList;
+import loadbalancer.policy.event.EndpointDescriptor;
+import loadbalancer.policy.event.EndpointStatus;
 
 /**
  * The upstreams that the list names, and those that it named as long as attempts are out to them.
  */
-final class UpstreamTable {
+public final class EndpointTable {
 
   /** An upstream as the list last told of it, with its connections. */
-  static final class Entry {
+  public static final class Entry {
     private final long id;
-    private UpstreamPool pool;
-    private Listed listed;
+    private EndpointConnectionPool pool;
+    private EndpointDescriptor listed;
     private boolean leaving;
     private boolean gone;
     private int out;
@@ -26,24 +27,24 @@
       this.id = id;
     }
 
-    UpstreamPool pool() {
+    public EndpointConnectionPool pool() {
       return pool;
     }
 
-    Listed listed() {
+    public EndpointDescriptor descriptor() {
       return listed;
     }
 
     /** Whether the list says that it wants nothing new, or is gone. */
-    boolean leaving() {
+    public boolean leaving() {
       return leaving;
     }
   }
 
-  private final ConnectionPool pools;
+  private final UpstreamConnectionPools pools;
   private final Map<Long, Entry> entries = new HashMap<>();
 
-  UpstreamTable(ConnectionPool pools) {
+  public EndpointTable(UpstreamConnectionPools pools) {
     this.pools = pools;
   }
 
@@ -51,7 +52,7 @@
    * The upstream of this id; null where the list never named it, or it is gone and nothing is out
    * to it.
    */
-  Entry get(long id) {
+  public Entry get(long id) {
     return entries.get(id);
   }
 
@@ -60,10 +61,10 @@
   }
 
   /** Takes in changes, or the whole list: one that is absent from that is gone. */
-  void news(boolean whole, List<HostList.Host> hosts) {
+  public void news(boolean whole, List<EndpointList.Host> hosts) {
     Set<Long> named = new HashSet<>();
-    for (HostList.Host host : hosts) {
-      named.add(host.listed().upstream());
+    for (EndpointList.Host host : hosts) {
+      named.add(host.descriptor().endpointId());
       update(host);
     }
     if (whole) {
@@ -73,9 +74,9 @@
     }
   }
 
-  private void update(HostList.Host host) {
-    Listed listed = host.listed();
-    Entry e = entries.computeIfAbsent(listed.upstream(), Entry::new);
+  private void update(EndpointList.Host host) {
+    EndpointDescriptor listed = host.descriptor();
+    Entry e = entries.computeIfAbsent(listed.endpointId(), Entry::new);
     if (e.pool == null || !e.pool.address().equals(host.address()) || e.gone) {
       if (e.pool != null) {
         e.pool.close();
@@ -83,11 +84,11 @@
       e.pool = pools.of(host.address());
     }
     e.listed = listed;
-    if (listed.state() == State.READY) {
+    if (listed.status() == EndpointStatus.READY) {
       e.leaving = false;
       e.gone = false;
     } else {
-      leave(e, listed.state() == State.GONE);
+      leave(e, listed.status() == EndpointStatus.REMOVED);
     }
   }
 
@@ -100,11 +101,11 @@
     }
   }
 
-  void started(Entry e) {
+  public void started(Entry e) {
     e.out++;
   }
 
-  void ended(Entry e) {
+  public void ended(Entry e) {
     e.out--;
     forgetIfOver(e);
   }
--- a/src/main/java/pumicekeel/node/AnswerDecoder.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseDecoder.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -8,15 +8,16 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import java.util.List;
+import loadbalancer.proxy.transport.RawBytesFilter;
 
 /**
  * Reads answers as strictly as requests are read, and watches the raw bytes: what comes where no
  * answer is due is never decoded. Guards against what Netty repairs quietly in answers: a line "no
  * colon here" would be a header named "no".
  */
-final class AnswerDecoder extends HttpResponseDecoder {
+final class ResponseDecoder extends HttpResponseDecoder {
 
-  private RawReader reader;
+  private RawBytesFilter reader;
 
   /**
    * From an answer's first line to its end; the line itself may end in a blank where it gives no
@@ -24,11 +25,11 @@
    */
   private boolean behindFirstLine;
 
-  AnswerDecoder() {
+  ResponseDecoder() {
     super(new HttpDecoderConfig().setStrictLineParsing(true));
   }
 
-  void reader(RawReader next) {
+  void reader(RawBytesFilter next) {
     reader = next;
   }
 
--- a/src/main/java/pumicekeel/node/AnswerHead.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseHeadValidator.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.upstream;
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
@@ -8,10 +8,11 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
-import pumicekeel.Balancer.Status;
+import loadbalancer.policy.event.AttemptStatus;
+import loadbalancer.proxy.http.UpstreamResponse;
 
 /** What the head of an upstream's answer is worth. */
-final class AnswerHead {
+final class ResponseHeadValidator {
 
   /**
    * Interim answers that are skipped ahead of an answer; more come from an upstream that never
@@ -19,7 +20,7 @@
    */
   static final int MOST_INTERIM = 10;
 
-  private AnswerHead() {}
+  private ResponseHeadValidator() {}
 
   /**
    * Whether the head tells in exactly one way where its body ends, and that within the protocol's
@@ -40,16 +41,17 @@
           && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))
           && !HttpUtil.isContentLengthSet(head);
     }
-    return HttpUtil.isContentLengthSet(head) && HttpUtil.getContentLength(head) <= Answer.MAX_BODY;
+    return HttpUtil.isContentLengthSet(head)
+        && HttpUtil.getContentLength(head) <= UpstreamResponse.MAX_BODY;
   }
 
   /** Only X-Unprocessed proves that a request never ran; a bare 503 may stand for one that did. */
-  static Status statusOf(HttpResponse head) {
+  static AttemptStatus statusOf(HttpResponse head) {
     int code = head.status().code();
     if (code == 200) {
-      return Status.SERVED;
+      return AttemptStatus.SERVED;
     }
     boolean never = (code == 503 || code == 504) && "1".equals(head.headers().get("X-Unprocessed"));
-    return never ? Status.FULL : Status.ERROR;
+    return never ? AttemptStatus.REJECTED : AttemptStatus.ERROR;
   }
 }
--- a/src/main/java/pumicekeel/node/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.upstream;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
@@ -11,10 +11,13 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import pumicekeel.Balancer.Status;
+import loadbalancer.policy.event.AttemptStatus;
+import loadbalancer.proxy.http.ClientRequest;
+import loadbalancer.proxy.http.UpstreamResponse;
+import loadbalancer.proxy.transport.EpochClock;
 
 /** One Send of the module: from the decision to exactly one outcome. */
-final class UpstreamAttempt {
+public final class UpstreamAttempt {
 
   /**
    * A kept connection that breaks within so long of the request was broken before: no upstream
@@ -23,14 +26,14 @@
   private static final long STALE_NANOS = 50_000_000L;
 
   /** Told how the attempt ended; the answer is null where none came whole. */
-  interface Ending {
-    void ended(UpstreamAttempt attempt, Status status, Answer answer);
+  public interface Ending {
+    void ended(UpstreamAttempt attempt, AttemptStatus status, UpstreamResponse answer);
   }
 
-  final int number;
-  final long upstream;
+  public final int number;
+  public final long upstream;
   final long decidedAt;
-  private final UpstreamPool pool;
+  private final EndpointConnectionPool pool;
   private final Ending ending;
   private UpstreamConnection connection;
   private ChannelFuture connecting;
@@ -38,11 +41,12 @@
   private long timeoutNanos;
   private boolean sent;
   private long sentAt;
-  private Clock clock;
-  private Status status;
+  private EpochClock clock;
+  private AttemptStatus status;
   private boolean stale;
 
-  UpstreamAttempt(int number, long upstream, long decidedAt, UpstreamPool pool, Ending ending) {
+  public UpstreamAttempt(
+      int number, long upstream, long decidedAt, EndpointConnectionPool pool, Ending ending) {
     this.number = number;
     this.upstream = upstream;
     this.decidedAt = decidedAt;
@@ -54,17 +58,19 @@
    * Sends on an idle connection or a new one; {@code maySend} is asked again right before the first
    * byte.
    */
-  void start(
+  public void start(
       ClientRequest request,
       long timeoutNanos,
       BooleanSupplier maySend,
-      Clock clock,
+      EpochClock clock,
       EventLoop loop) {
     this.clock = clock;
     this.timeoutNanos = timeoutNanos;
     timeout =
         loop.schedule(
-            () -> end(Status.TIMEOUT, null), Math.max(0, timeoutNanos), TimeUnit.NANOSECONDS);
+            () -> end(AttemptStatus.TIMEOUT, null),
+            Math.max(0, timeoutNanos),
+            TimeUnit.NANOSECONDS);
     UpstreamConnection idle = pool.takeIdle();
     if (idle != null) {
       write(idle, request, timeoutNanos, maySend);
@@ -72,7 +78,7 @@
     }
     connecting = pool.connect();
     if (connecting == null) {
-      end(Status.CONNECT_FAILED, null);
+      end(AttemptStatus.CONNECT_FAILED, null);
       return;
     }
     connecting.addListener(
@@ -80,7 +86,7 @@
           if (status != null) {
             connecting.channel().close();
           } else if (!done.isSuccess()) {
-            end(Status.CONNECT_FAILED, null);
+            end(AttemptStatus.CONNECT_FAILED, null);
           } else {
             write(
                 connecting.channel().pipeline().get(UpstreamConnection.class),
@@ -95,7 +101,7 @@
       UpstreamConnection to, ClientRequest request, long timeoutNanos, BooleanSupplier maySend) {
     if (!maySend.getAsBoolean()) {
       to.giveBack();
-      end(Status.NOT_SENT, null);
+      end(AttemptStatus.NOT_SENT, null);
       return;
     }
     connection = to;
@@ -115,7 +121,7 @@
     message
         .headers()
         .set(HttpHeaderNames.HOST, request.host())
-        .set(ClientRequest.ID, request.id())
+        .set(ClientRequest.ID, request.requestId())
         .set(ClientRequest.TIME_LEFT, leftMillis)
         .set(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
     if (request.idempotencyKey() != null) {
@@ -127,30 +133,30 @@
     return message;
   }
 
-  InetSocketAddress address() {
+  public InetSocketAddress address() {
     return pool.address();
   }
 
-  boolean out() {
+  public boolean out() {
     return status == null;
   }
 
   /** Whether this attempt may have an effect by now. */
-  boolean mayHaveRun() {
+  public boolean mayHaveRun() {
     return sent && (status == null || !status.provesNotRun());
   }
 
   /** Whether the request found a kept connection broken, of which it could not know. */
-  boolean stale() {
+  public boolean foundStaleConnection() {
     return stale;
   }
 
-  long sentAt() {
+  public long sentAt() {
     return sentAt;
   }
 
   /** From the decision to the first byte; 0 of one that was not sent. */
-  long unsentNanos() {
+  public long unsentNanos() {
     return sent ? sentAt - decidedAt : 0;
   }
 
@@ -159,21 +165,21 @@
    * sent, from the decision. What passes before the writing is a connect, which a slow loop makes
    * long, and no upstream's work.
    */
-  long latencyNanos(long until) {
+  public long latencyNanos(long until) {
     return Math.max(0, until - (sent ? sentAt : decidedAt));
   }
 
   /**
    * Ends the attempt once; one that ends otherwise than by an answer takes its connection with it.
    */
-  void end(Status how, Answer answer) {
+  public void end(AttemptStatus how, UpstreamResponse answer) {
     if (status != null) {
       return;
     }
     status = how;
     timeout.cancel(false);
     stale =
-        how == Status.RESET
+        how == AttemptStatus.RESET
             && connecting == null
             && connection.nothingHeard()
             && clock.now() - sentAt < STALE_NANOS;
@@ -181,14 +187,14 @@
       // What was kept for longer has most likely gone the same way, and would cost an attempt each.
       pool.closeOlderThan(connection.idleSince);
     }
-    if (how == Status.TIMEOUT || how == Status.CANCELLED) {
+    if (how == AttemptStatus.TIMEOUT || how == AttemptStatus.CANCELLED) {
       if (connection != null) {
         connection.abort();
       } else if (connecting != null) {
         connecting.channel().close();
       }
     }
-    if (how == Status.TIMEOUT && !pool.heardWithin(timeoutNanos)) {
+    if (how == AttemptStatus.TIMEOUT && !pool.heardWithin(timeoutNanos)) {
       // A machine that vanished keeps its connections open and silent: none of them is used again.
       // One that still
       // answers others was only slow, and closing all would cost it a storm of new connections.
--- a/src/main/java/pumicekeel/node/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFuture;
@@ -17,7 +17,11 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
-import pumicekeel.Balancer.Status;
+import loadbalancer.policy.event.AttemptStatus;
+import loadbalancer.proxy.http.UpstreamResponse;
+import loadbalancer.proxy.telemetry.EventLog;
+import loadbalancer.proxy.transport.PeekableSocketChannel;
+import loadbalancer.proxy.transport.RawBytesFilter;
 
 /**
  * A connection to an upstream: sends one attempt at a time and reads how it ended. Only once a read
@@ -25,7 +29,7 @@
  * request.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject>
-    implements RawReader {
+    implements RawBytesFilter {
 
   private static final byte[] START = "HTTP/1.1 ".getBytes(StandardCharsets.US_ASCII);
 
@@ -35,9 +39,9 @@
    */
   private static final long ANSWER_MILLIS = 300;
 
-  private final UpstreamPool pool;
-  private final PeerSocket channel;
-  private final AnswerDecoder decoder;
+  private final EndpointConnectionPool pool;
+  private final PeekableSocketChannel channel;
+  private final ResponseDecoder decoder;
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private UpstreamAttempt attempt;
   private ChannelFuture written;
@@ -49,7 +53,8 @@
   private boolean surplus;
   long idleSince;
 
-  UpstreamConnection(UpstreamPool pool, PeerSocket channel, AnswerDecoder decoder) {
+  UpstreamConnection(
+      EndpointConnectionPool pool, PeekableSocketChannel channel, ResponseDecoder decoder) {
     this.pool = pool;
     this.channel = channel;
     this.decoder = decoder;
@@ -127,11 +132,13 @@
     }
     if (message instanceof HttpResponse head) {
       response = head;
-      surplus |= !AnswerHead.sound(head) || interim() && ++interim > AnswerHead.MOST_INTERIM;
+      surplus |=
+          !ResponseHeadValidator.sound(head)
+              || interim() && ++interim > ResponseHeadValidator.MOST_INTERIM;
     }
     if (message instanceof HttpContent part && response != null && !interim() && !surplus) {
       part.content().readBytes(body, part.content().readableBytes());
-      surplus = body.size() > Answer.MAX_BODY;
+      surplus = body.size() > UpstreamResponse.MAX_BODY;
       whole = !surplus && message instanceof LastHttpContent;
     }
   }
@@ -174,8 +181,9 @@
       channel.close();
     }
     ended.end(
-        AnswerHead.statusOf(response),
-        new Answer(body.toByteArray(), response.headers().get(HttpHeaderNames.CONTENT_TYPE)));
+        ResponseHeadValidator.statusOf(response),
+        new UpstreamResponse(
+            body.toByteArray(), response.headers().get(HttpHeaderNames.CONTENT_TYPE)));
   }
 
   private void stopWaiting() {
@@ -193,7 +201,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      Log.caused("upstream " + pool.address() + ": " + cause);
+      EventLog.caused("upstream " + pool.address() + ": " + cause);
     }
     broken();
   }
@@ -206,7 +214,9 @@
     UpstreamAttempt ended = attempt;
     close();
     if (ended != null) {
-      ended.end(written.isSuccess() || heard > 0 ? Status.RESET : Status.CONNECT_FAILED, null);
+      ended.end(
+          written.isSuccess() || heard > 0 ? AttemptStatus.RESET : AttemptStatus.CONNECT_FAILED,
+          null);
     }
   }
 }
--- a/src/main/java/pumicekeel/node/ConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPools.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.upstream;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -14,11 +14,12 @@
 import java.util.Set;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.proxy.transport.PeekableSocketChannel;
 
 /**
  * Connections to all upstreams: opens them, keeps them few and closes those that have stood idle.
  */
-final class ConnectionPool {
+public final class UpstreamConnectionPools {
 
   /**
    * Idle connections go at this part of the upstream's own limit: one written to after that would
@@ -31,16 +32,17 @@
   private final Bootstrap bootstrap;
   private final int most;
   private final long idleNanos;
-  private final Set<UpstreamPool> pools = new LinkedHashSet<>();
+  private final Set<EndpointConnectionPool> pools = new LinkedHashSet<>();
   private final Future<?> sweep;
   private int open;
 
-  ConnectionPool(EventLoop loop, long connectTimeoutNanos, long idleNanos, int most) {
-    this(loop, connectTimeoutNanos, idleNanos, most, PeerSocket::new);
+  public UpstreamConnectionPools(
+      EventLoop loop, long connectTimeoutNanos, long idleNanos, int most) {
+    this(loop, connectTimeoutNanos, idleNanos, most, PeekableSocketChannel::new);
   }
 
   /** One whose sockets {@code sockets} makes. */
-  ConnectionPool(
+  public UpstreamConnectionPools(
       EventLoop loop,
       long connectTimeoutNanos,
       long idleNanos,
@@ -61,8 +63,8 @@
   }
 
   /** The pool of an upstream that is new or has a new address. */
-  UpstreamPool of(InetSocketAddress address) {
-    UpstreamPool pool = new UpstreamPool(this, address);
+  public EndpointConnectionPool of(InetSocketAddress address) {
+    EndpointConnectionPool pool = new EndpointConnectionPool(this, address);
     pools.add(pool);
     return pool;
   }
@@ -71,7 +73,7 @@
    * Opens a connection; null where the limit on sockets, or the process's on descriptors, leaves no
    * room for one.
    */
-  ChannelFuture connect(UpstreamPool pool) {
+  ChannelFuture connect(EndpointConnectionPool pool) {
     if (open >= most && !closeOldest()) {
       return null;
     }
@@ -82,9 +84,9 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    AnswerDecoder decoder = new AnswerDecoder();
+                    ResponseDecoder decoder = new ResponseDecoder();
                     UpstreamConnection connection =
-                        new UpstreamConnection(pool, (PeerSocket) channel, decoder);
+                        new UpstreamConnection(pool, (PeekableSocketChannel) channel, decoder);
                     decoder.reader(connection);
                     channel.pipeline().addLast(new HttpRequestEncoder(), decoder, connection);
                   }
@@ -100,14 +102,14 @@
     return connecting;
   }
 
-  void forget(UpstreamPool pool) {
+  void forget(EndpointConnectionPool pool) {
     pools.remove(pool);
   }
 
   /** Ends the pool: closes what is idle and looks for no more. */
-  void close() {
+  public void close() {
     sweep.cancel(false);
-    List.copyOf(pools).forEach(UpstreamPool::close);
+    List.copyOf(pools).forEach(EndpointConnectionPool::close);
   }
 
   private void closeOld() {
@@ -117,7 +119,7 @@
 
   private boolean closeOldest() {
     UpstreamConnection oldest = null;
-    for (UpstreamPool pool : pools) {
+    for (EndpointConnectionPool pool : pools) {
       UpstreamConnection next = pool.oldest();
       oldest =
           oldest == null || next != null && next.idleSince - oldest.idleSince < 0 ? next : oldest;
--- /dev/null
+++ b/src/test/java/loadbalancer/ArchitectureTest.java
@@ -0,0 +1,100 @@
+package loadbalancer;
+
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
+
+import com.tngtech.archunit.core.importer.ImportOption;
+import com.tngtech.archunit.junit.AnalyzeClasses;
+import com.tngtech.archunit.junit.ArchTest;
+import com.tngtech.archunit.lang.ArchRule;
+
+/** The direction of dependencies between the packages, as docs/ARCHITECTURE.md shows it. */
+@AnalyzeClasses(packages = "loadbalancer", importOptions = ImportOption.DoNotIncludeTests.class)
+class ArchitectureTest {
+
+  @ArchTest
+  static final ArchRule NO_PACKAGE_IMPORTS_ONE_THAT_IMPORTS_IT =
+      slices().matching("loadbalancer.(**)").should().beFreeOfCycles();
+
+  @ArchTest
+  static final ArchRule THE_POLICY_USES_THE_JDK_ONLY =
+      classes()
+          .that()
+          .resideInAPackage("loadbalancer.policy..")
+          .should()
+          .onlyDependOnClassesThat()
+          .resideInAnyPackage("loadbalancer.policy..", "java.lang..", "java.util..");
+
+  @ArchTest
+  static final ArchRule THE_POLICY_HAS_NO_CLOCK_THREAD_OR_OTHER_SOURCE_OF_RANDOMNESS =
+      noClasses()
+          .that()
+          .resideInAPackage("loadbalancer.policy..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAPackage("java.util.concurrent..")
+          .orShould()
+          .dependOnClassesThat()
+          .haveFullyQualifiedName("java.util.Random")
+          .orShould()
+          .callMethod(System.class, "nanoTime")
+          .orShould()
+          .callMethod(System.class, "currentTimeMillis")
+          .orShould()
+          .accessField(System.class, "out")
+          .orShould()
+          .accessField(System.class, "err");
+
+  @ArchTest
+  static final ArchRule ONLY_THE_EDGE_READS_JSON =
+      noClasses()
+          .that()
+          .resideOutsideOfPackages("loadbalancer.config..", "loadbalancer.simulator..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAPackage("com.fasterxml..");
+
+  @ArchTest
+  static final ArchRule DEPENDENCIES_POINT_ONE_WAY =
+      layeredArchitecture()
+          .consideringOnlyDependenciesInLayers()
+          .layer("command line")
+          .definedBy("loadbalancer")
+          .layer("simulator")
+          .definedBy("loadbalancer.simulator..")
+          .layer("lifecycle")
+          .definedBy("loadbalancer.proxy.lifecycle..")
+          .layer("downstream")
+          .definedBy("loadbalancer.proxy.downstream..")
+          .layer("discovery")
+          .definedBy("loadbalancer.proxy.discovery..")
+          .layer("coordinator")
+          .definedBy("loadbalancer.proxy.coordinator..")
+          .layer("upstream")
+          .definedBy("loadbalancer.proxy.upstream..")
+          .layer("config")
+          .definedBy("loadbalancer.config..")
+          .layer("policy")
+          .definedBy("loadbalancer.policy")
+          .whereLayer("command line")
+          .mayNotBeAccessedByAnyLayer()
+          .whereLayer("simulator")
+          .mayOnlyBeAccessedByLayers("command line")
+          .whereLayer("lifecycle")
+          .mayOnlyBeAccessedByLayers("command line")
+          .whereLayer("downstream")
+          .mayOnlyBeAccessedByLayers("lifecycle")
+          .whereLayer("discovery")
+          .mayOnlyBeAccessedByLayers("lifecycle")
+          .whereLayer("coordinator")
+          .mayOnlyBeAccessedByLayers("downstream", "lifecycle")
+          .whereLayer("upstream")
+          .mayOnlyBeAccessedByLayers("coordinator", "lifecycle")
+          .whereLayer("config")
+          .mayOnlyBeAccessedByLayers(
+              "command line", "simulator", "lifecycle", "discovery", "coordinator", "upstream")
+          .whereLayer("policy")
+          .mayOnlyBeAccessedByLayers("simulator", "lifecycle", "coordinator");
+}
--- a/src/test/java/pumicekeel/adapter/MainTest.java
+++ b/src/test/java/loadbalancer/CommandLineTest.java
@@ -1,4 +1,4 @@
-package pumicekeel.adapter;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Exit statuses of the command line, and what it prints where. */
-class MainTest {
+class CommandLineTest {
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
   private int run(String input, String... args) throws IOException {
-    return Main.run(
+    return CommandLine.run(
         args,
         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
         new PrintStream(out),
--- a/src/test/java/pumicekeel/AdmissionTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionTest.java
@@ -1,24 +1,25 @@
-package pumicekeel;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.Map;
+import loadbalancer.policy.SlidingWindow.Metric;
+import loadbalancer.policy.event.AttemptStatus;
+import loadbalancer.policy.event.RequestArrived;
+import loadbalancer.policy.settings.DeduplicationScope;
+import loadbalancer.policy.settings.RequestEffect;
+import loadbalancer.policy.settings.Tenant;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import pumicekeel.Balancer.DedupScope;
-import pumicekeel.Balancer.Effect;
-import pumicekeel.Balancer.Status;
-import pumicekeel.Balancer.Tenant;
-import pumicekeel.Window.Metric;
 
 /** The straight line, its window and what it is fed with. */
 class AdmissionTest {
 
   private static double published(double meanMs) {
-    return AdaptiveBalancer.allowedRate(meanMs, 300, 18_000, 240, 4);
+    return AdaptiveLoadBalancingPolicy.allowedRate(meanMs, 300, 18_000, 240, 4);
   }
 
   @Test
@@ -33,7 +34,7 @@
 
   @Test
   void windowCountsAndForgets() {
-    Window w = new Window(1200, 0);
+    SlidingWindow w = new SlidingWindow(1200, 0);
     assertEquals(0, w.mean(0, 1), "an empty window is healthy");
     w.add(0, Metric.ADMITTED, 1);
     w.add(150, Metric.SAMPLES, 1);
@@ -51,7 +52,7 @@
   @Test
   void windowThatRemembersSeveralLengthsForgetsOverALongerPause() {
     for (long pause = 1200; pause <= 20_000; pause += 100) {
-      Window w = new Window(1200, 5, 0);
+      SlidingWindow w = new SlidingWindow(1200, 5, 0);
       for (long at = 10_000; at < 11_200; at += 100) {
         w.add(at, Metric.SAMPLES, 1);
         w.add(at, Metric.SUM, 3);
@@ -62,12 +63,13 @@
   }
 
   /** Serves at a rate with a fixed number out, each answer after the latency; the share refused. */
-  private static double refusedShare(Driver d, int requests, int out, long latency, Status status) {
+  private static double refusedShare(
+      PolicyDriver d, int requests, int out, long latency, AttemptStatus status) {
     return refusedShare(d, null, requests, out, latency, status);
   }
 
   private static double refusedShare(
-      Driver d, String tenant, int requests, int out, long latency, Status status) {
+      PolicyDriver d, String tenant, int requests, int out, long latency, AttemptStatus status) {
     d.refusals.clear();
     for (int i = 0; i < requests; i++) {
       d.request(d.nextId(), "c", tenant, "k" + i % 50, 0);
@@ -81,37 +83,45 @@
     assertEquals(
         0,
         refusedShare(
-            new Driver(Driver.safe()).upstreams(5), 500, 5, 40 * Driver.MS, Status.SERVED));
+            new PolicyDriver(PolicyDriver.safe()).upstreams(5),
+            500,
+            5,
+            40 * PolicyDriver.MS,
+            AttemptStatus.SERVED));
   }
 
   @Test
   void ownDelayOfTheBalancerIsNoOverload() {
-    Driver d = new Driver(Driver.safe()).upstreams(5);
+    PolicyDriver d = new PolicyDriver(PolicyDriver.safe()).upstreams(5);
     for (int i = 0; i < 500; i++) {
       d.request(d.nextId(), "c", null, "k" + i % 50, 0);
-      d.serveFor(8 * Driver.MS, Status.SERVED, 320 * Driver.MS, 40 * Driver.MS);
+      d.serveFor(
+          8 * PolicyDriver.MS, AttemptStatus.SERVED, 320 * PolicyDriver.MS, 40 * PolicyDriver.MS);
     }
     assertEquals(Map.of(), d.refusals, "40 ms at an upstream, 280 ms in this balancer");
   }
 
   @Test
   void keysThatNeverComeAgainAreForgotten() {
-    Driver d = new Driver(Driver.safe()).upstreams(5);
+    PolicyDriver d = new PolicyDriver(PolicyDriver.safe()).upstreams(5);
     for (int i = 0; i < 5_000; i++) {
       d.request(d.nextId(), "c", null, "once-" + i, 0);
-      d.serveFor(10 * Driver.MS, Status.SERVED, 5 * Driver.MS);
+      d.serveFor(10 * PolicyDriver.MS, AttemptStatus.SERVED, 5 * PolicyDriver.MS);
     }
-    int kept = ((AdaptiveBalancer) d.module).windowsKept();
+    int kept = ((AdaptiveLoadBalancingPolicy) d.module).windowsKept();
     assertTrue(kept < 300, "a window holds 100 of these keys, and kept are " + kept);
   }
 
   @ParameterizedTest
   @EnumSource(names = {"RESET", "ERROR"})
-  void connectionsThatBreakAndErrorsAreNotTakenForLoad(Status failure) {
-    Driver d = new Driver(Driver.safe()).upstreams(5);
+  void connectionsThatBreakAndErrorsAreNotTakenForLoad(AttemptStatus failure) {
+    PolicyDriver d = new PolicyDriver(PolicyDriver.safe()).upstreams(5);
     for (int i = 0; i < 1_000; i++) {
       d.request(d.nextId(), "c", null, "k" + i % 50, 0);
-      d.serveFor(20 * Driver.MS, i % 10 == 9 ? failure : Status.SERVED, 100 * Driver.MS);
+      d.serveFor(
+          20 * PolicyDriver.MS,
+          i % 10 == 9 ? failure : AttemptStatus.SERVED,
+          100 * PolicyDriver.MS);
     }
     assertEquals(
         0,
@@ -121,12 +131,13 @@
 
   @Test
   void ownDelayOfTheBalancerIsNoSilenceOfItsUpstreams() {
-    Driver d = new Driver(Driver.safe()).upstreams(2);
+    PolicyDriver d = new PolicyDriver(PolicyDriver.safe()).upstreams(2);
     for (int i = 0; i < 20; i++) {
       for (int k = 0; k < 12; k++) {
         d.request(d.nextId(), "c", null, "k" + k, 0);
       }
-      d.serveFor(260 * Driver.MS, Status.SERVED, 250 * Driver.MS, 40 * Driver.MS);
+      d.serveFor(
+          260 * PolicyDriver.MS, AttemptStatus.SERVED, 250 * PolicyDriver.MS, 40 * PolicyDriver.MS);
     }
     long copied = d.attempts.values().stream().filter(n -> n > 1).count();
     // The first ones' own delay is not known before their answers.
@@ -135,20 +146,20 @@
 
   @Test
   void keptConnectionsThatWereBrokenEjectNobody() {
-    Driver d = new Driver(Driver.safe()).upstreams(3);
-    long first = d.serve("k", 40 * Driver.MS);
+    PolicyDriver d = new PolicyDriver(PolicyDriver.safe()).upstreams(3);
+    long first = d.serve("k", 40 * PolicyDriver.MS);
     for (int i = 0; i < 5; i++) {
       d.request("b" + i, "c", "k");
       d.endStale("b" + i);
     }
-    assertEquals(first, d.serve("k", 40 * Driver.MS), "still where its key belongs");
+    assertEquals(first, d.serve("k", 40 * PolicyDriver.MS), "still where its key belongs");
   }
 
   @Test
   void overloadIsRefusedWithRetryAfter() {
-    Driver d = new Driver(Driver.safe()).upstreams(5);
-    refusedShare(d, 300, 2, 40 * Driver.MS, Status.SERVED);
-    assertTrue(refusedShare(d, 600, 30, 700 * Driver.MS, Status.SERVED) > 0.2);
+    PolicyDriver d = new PolicyDriver(PolicyDriver.safe()).upstreams(5);
+    refusedShare(d, 300, 2, 40 * PolicyDriver.MS, AttemptStatus.SERVED);
+    assertTrue(refusedShare(d, 600, 30, 700 * PolicyDriver.MS, AttemptStatus.SERVED) > 0.2);
   }
 
   /**
@@ -156,15 +167,16 @@
    */
   @Test
   void noRefusalInsideAQuotaWhileNoMoreIsOutThanUsual() {
-    Driver d =
-        new Driver(
-                Driver.settings(
+    PolicyDriver d =
+        new PolicyDriver(
+                PolicyDriver.settings(
                     false,
                     List.of(new Tenant("t", 1, 1000)),
-                    Driver.type("c", Effect.SAFE, DedupScope.ALL)))
+                    PolicyDriver.type("c", RequestEffect.IDEMPOTENT, DeduplicationScope.ALL)))
             .upstreams(5);
-    refusedShare(d, "t", 2000, 10, 40 * Driver.MS, Status.SERVED);
-    assertEquals(0, refusedShare(d, "t", 300, 4, 390 * Driver.MS, Status.SERVED), 0.02);
+    refusedShare(d, "t", 2000, 10, 40 * PolicyDriver.MS, AttemptStatus.SERVED);
+    assertEquals(
+        0, refusedShare(d, "t", 300, 4, 390 * PolicyDriver.MS, AttemptStatus.SERVED), 0.02);
   }
 
   /**
@@ -173,25 +185,25 @@
    */
   @Test
   void withoutQuotasTheLineRefusesThoughFewAreOut() {
-    Driver d = new Driver(Driver.safe()).upstreams(5);
-    refusedShare(d, 2000, 10, 40 * Driver.MS, Status.SERVED);
-    assertTrue(refusedShare(d, 300, 4, 390 * Driver.MS, Status.SERVED) > 0.2);
+    PolicyDriver d = new PolicyDriver(PolicyDriver.safe()).upstreams(5);
+    refusedShare(d, 2000, 10, 40 * PolicyDriver.MS, AttemptStatus.SERVED);
+    assertTrue(refusedShare(d, 300, 4, 390 * PolicyDriver.MS, AttemptStatus.SERVED) > 0.2);
   }
 
   @Test
   void excessOverAQuotaIsRefusedFirst() {
-    Driver d =
-        new Driver(
-                Driver.settings(
+    PolicyDriver d =
+        new PolicyDriver(
+                PolicyDriver.settings(
                     false,
                     List.of(new Tenant("big", 0.5, 10), new Tenant("small", 0.5, 1000)),
-                    Driver.type("c", Effect.SAFE, DedupScope.ALL)))
+                    PolicyDriver.type("c", RequestEffect.IDEMPOTENT, DeduplicationScope.ALL)))
             .upstreams(5);
     for (int i = 0; i < 2000; i++) {
       for (String tenant : List.of("big", "small")) {
         d.request(tenant + d.nextId(), "c", tenant, "k" + i % 50, 0);
       }
-      d.serveFor(20 * Driver.MS, Status.SERVED, 140 * Driver.MS);
+      d.serveFor(20 * PolicyDriver.MS, AttemptStatus.SERVED, 140 * PolicyDriver.MS);
     }
     assertTrue(d.refusals.getOrDefault("b", 0) > 300, "excess refused: " + d.refusals);
     assertEquals(0, d.refusals.getOrDefault("s", 0), "inside its quota nothing is refused");
@@ -200,8 +212,8 @@
   /** Guards against quick failures that pull a mean down and keep a rate at full. */
   @Test
   void quickFailuresCountAsTheClassLimit() {
-    Driver d = new Driver(Driver.safe()).upstreams(5);
-    double refused = refusedShare(d, 800, 10, 2 * Driver.MS, Status.ERROR);
+    PolicyDriver d = new PolicyDriver(PolicyDriver.safe()).upstreams(5);
+    double refused = refusedShare(d, 800, 10, 2 * PolicyDriver.MS, AttemptStatus.ERROR);
     assertTrue(refused > 0.3, "refused " + refused);
   }
 
@@ -211,15 +223,16 @@
    */
   @Test
   void timeOutCountsAsLongAsItsClientWaited() {
-    Driver d = new Driver(Driver.safe()).upstreams(5);
+    PolicyDriver d = new PolicyDriver(PolicyDriver.safe()).upstreams(5);
     for (int i = 0; i < 1_000; i++) {
       String id = i % 10 == 5 ? "lost" + i : d.nextId();
-      d.step(new Balancer.Request(id, "c", null, "k" + i % 49, d.now + 450 * Driver.MS, 0, false));
-      d.pass(10 * Driver.MS);
-      for (Driver.Sent s : List.copyOf(d.outstanding)) {
-        boolean lost = s.id().startsWith("lost");
-        if (d.now - s.at() >= (lost ? 420 : 40) * Driver.MS) {
-          d.end(s, lost ? Status.TIMEOUT : Status.SERVED, d.now - s.at());
+      d.step(
+          new RequestArrived(id, "c", null, "k" + i % 49, d.now + 450 * PolicyDriver.MS, 0, false));
+      d.pass(10 * PolicyDriver.MS);
+      for (PolicyDriver.Sent s : List.copyOf(d.outstanding)) {
+        boolean lost = s.requestId().startsWith("lost");
+        if (d.now - s.at() >= (lost ? 420 : 40) * PolicyDriver.MS) {
+          d.end(s, lost ? AttemptStatus.TIMEOUT : AttemptStatus.SERVED, d.now - s.at());
         }
       }
     }
@@ -232,11 +245,11 @@
   /** Guards sparse views: with a request or two a window the first of each was always admitted. */
   @Test
   void theLineRefusesWhereEveryWindowHoldsHardlyARequest() {
-    Driver d = new Driver(Driver.safe()).upstreams(20);
+    PolicyDriver d = new PolicyDriver(PolicyDriver.safe()).upstreams(20);
     int late = 0;
     for (int i = 0; i < 60; i++) {
-      long to = Driver.sentTo(d.request(d.nextId(), "c", "k" + i));
-      d.serveFor(700 * Driver.MS, Status.SERVED, 690 * Driver.MS);
+      long to = PolicyDriver.sentTo(d.request(d.nextId(), "c", "k" + i));
+      d.serveFor(700 * PolicyDriver.MS, AttemptStatus.SERVED, 690 * PolicyDriver.MS);
       late += i >= 20 && to >= 0 ? 1 : 0;
     }
     assertTrue(late < 15, "admitted of the last 40 at well over maxValue: " + late);
@@ -248,20 +261,20 @@
    */
   @Test
   void aSmallShareMaySendAFewAtOnce() {
-    Driver d =
-        new Driver(
-                Driver.settings(
+    PolicyDriver d =
+        new PolicyDriver(
+                PolicyDriver.settings(
                     false,
-                    List.of(new Balancer.Tenant("t", 1, 1)),
-                    Driver.type("c", Balancer.Effect.SAFE, Balancer.DedupScope.ALL)))
+                    List.of(new Tenant("t", 1, 1)),
+                    PolicyDriver.type("c", RequestEffect.IDEMPOTENT, DeduplicationScope.ALL)))
             .upstreams(8);
     for (int i = 0; i < 20; i++) {
       d.request(d.nextId(), "c", "t", "k" + i, 0);
-      d.serveFor(4000 * Driver.MS, Status.SERVED, 190 * Driver.MS);
+      d.serveFor(4000 * PolicyDriver.MS, AttemptStatus.SERVED, 190 * PolicyDriver.MS);
     }
     int sent = 0;
     for (int i = 0; i < 3; i++) {
-      sent += Driver.sentTo(d.request(d.nextId(), "c", "t", "x" + i, 0)) >= 0 ? 1 : 0;
+      sent += PolicyDriver.sentTo(d.request(d.nextId(), "c", "t", "x" + i, 0)) >= 0 ? 1 : 0;
     }
     assertEquals(3, sent);
   }
@@ -272,15 +285,15 @@
    */
   @Test
   void theLineIsNeverShutThoughItReachesFarBack() {
-    Driver d = new Driver(Driver.safe()).upstreams(60);
-    refusedShare(d, 60, 2, 40 * Driver.MS, Status.SERVED);
+    PolicyDriver d = new PolicyDriver(PolicyDriver.safe()).upstreams(60);
+    refusedShare(d, 60, 2, 40 * PolicyDriver.MS, AttemptStatus.SERVED);
     int refused = 0;
     int most = 0;
     for (int i = 0; i < 300; i++) {
-      long to = Driver.sentTo(d.request(d.nextId(), "c", "k" + i % 50));
+      long to = PolicyDriver.sentTo(d.request(d.nextId(), "c", "k" + i % 50));
       refused = to >= 0 ? 0 : refused + 1;
       most = Math.max(most, refused);
-      d.serveFor(100 * Driver.MS, Status.SERVED, 900 * Driver.MS);
+      d.serveFor(100 * PolicyDriver.MS, AttemptStatus.SERVED, 900 * PolicyDriver.MS);
     }
     assertTrue(most >= 5, "well over maxValue: refused in a row " + most);
     assertTrue(most < 15, "turned away without an attempt in between: " + most);
--- a/src/test/java/pumicekeel/EmbeddingExampleTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingExampleTest.java
@@ -1,13 +1,13 @@
-package pumicekeel;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
 import java.util.List;
+import loadbalancer.policy.action.Action;
+import loadbalancer.policy.action.ForwardAttempt;
+import loadbalancer.policy.action.SetTimer;
 import org.junit.jupiter.api.Test;
-import pumicekeel.Balancer.Action;
-import pumicekeel.Balancer.Send;
-import pumicekeel.Balancer.SetTimer;
 
 /** The README's example does what the README says. */
 class EmbeddingExampleTest {
@@ -15,8 +15,8 @@
   @Test
   void theFirstRequestIsSentAndATimerAskedFor() {
     List<Action> actions = EmbeddingExample.firstRequest();
-    Send send = assertInstanceOf(Send.class, actions.get(0));
-    assertEquals("r1", send.id());
+    ForwardAttempt send = assertInstanceOf(ForwardAttempt.class, actions.get(0));
+    assertEquals("r1", send.requestId());
     assertInstanceOf(SetTimer.class, actions.get(1));
     assertEquals(2, actions.size());
   }
--- a/src/test/java/pumicekeel/Driver.java
+++ b/src/test/java/loadbalancer/policy/PolicyDriver.java
@@ -1,37 +1,37 @@
-package pumicekeel;
+package loadbalancer.policy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pumicekeel.Balancer.Action;
-import pumicekeel.Balancer.Contract;
-import pumicekeel.Balancer.DedupScope;
-import pumicekeel.Balancer.Effect;
-import pumicekeel.Balancer.Event;
-import pumicekeel.Balancer.Limits;
-import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.ListNews;
-import pumicekeel.Balancer.Listed;
-import pumicekeel.Balancer.Outcome;
-import pumicekeel.Balancer.Prices;
-import pumicekeel.Balancer.Request;
-import pumicekeel.Balancer.RequestClass;
-import pumicekeel.Balancer.Send;
-import pumicekeel.Balancer.SetTimer;
-import pumicekeel.Balancer.Settings;
-import pumicekeel.Balancer.State;
-import pumicekeel.Balancer.Status;
-import pumicekeel.Balancer.Tenant;
-import pumicekeel.Balancer.TimerFired;
-import pumicekeel.Balancer.WeightKind;
+import loadbalancer.policy.action.Action;
+import loadbalancer.policy.action.ForwardAttempt;
+import loadbalancer.policy.action.RejectRequest;
+import loadbalancer.policy.action.SetTimer;
+import loadbalancer.policy.event.AttemptCompleted;
+import loadbalancer.policy.event.AttemptStatus;
+import loadbalancer.policy.event.EndpointDescriptor;
+import loadbalancer.policy.event.EndpointListUpdate;
+import loadbalancer.policy.event.EndpointStatus;
+import loadbalancer.policy.event.Event;
+import loadbalancer.policy.event.RequestArrived;
+import loadbalancer.policy.event.TimerFired;
+import loadbalancer.policy.settings.Costs;
+import loadbalancer.policy.settings.DeduplicationScope;
+import loadbalancer.policy.settings.Limits;
+import loadbalancer.policy.settings.PolicySettings;
+import loadbalancer.policy.settings.RequestClass;
+import loadbalancer.policy.settings.RequestEffect;
+import loadbalancer.policy.settings.ServiceRules;
+import loadbalancer.policy.settings.Tenant;
+import loadbalancer.policy.settings.WeightKind;
 
 /** Drives one instance by hand: a clock, its timers, and the actions of the last step. */
-final class Driver {
+final class PolicyDriver {
 
   static final long MS = 1_000_000L;
 
-  final Balancer module;
+  final LoadBalancingPolicy module;
   final List<Long> timers = new ArrayList<>();
   final List<Sent> outstanding = new ArrayList<>();
   final Map<String, Integer> refusals = new HashMap<>();
@@ -40,30 +40,31 @@
   private int ids;
 
   /** An attempt that has no outcome yet. */
-  record Sent(String id, int attempt, long upstream, long at) {}
+  record Sent(String requestId, int attempt, long endpointId, long at) {}
 
-  Driver(Settings settings) {
+  PolicyDriver(PolicySettings settings) {
     this(settings, 7);
   }
 
-  Driver(Settings settings, long seed) {
-    module = new AdaptiveBalancer(settings, seed);
+  PolicyDriver(PolicySettings settings, long seed) {
+    module = new AdaptiveLoadBalancingPolicy(settings, seed);
   }
 
-  static RequestClass type(String name, Effect effect, DedupScope scope) {
+  static RequestClass type(String name, RequestEffect effect, DeduplicationScope scope) {
     return new RequestClass(name, effect, scope, 2000 * MS, 400 * MS, 0, 2000 * MS, 1, 0, false);
   }
 
-  static Settings settings(boolean onRequest, List<Tenant> tenants, RequestClass... classes) {
-    return new Settings(
+  static PolicySettings settings(boolean onRequest, List<Tenant> tenants, RequestClass... classes) {
+    return new PolicySettings(
         0,
         1,
         "a",
         List.of(classes),
         tenants,
         new Limits(true, false, false, true, true, 1000 * MS, 4, 10_000, 1, 200 * MS, 5000 * MS),
-        new Contract(8 * MS, onRequest ? 10_000 * MS : 0, 250 * MS, 0.3, 8000 * MS, 3, 3000 * MS),
-        new Prices(0, 0, 0),
+        new ServiceRules(
+            8 * MS, onRequest ? 10_000 * MS : 0, 250 * MS, 0.3, 8000 * MS, 3, 3000 * MS),
+        new Costs(0, 0, 0),
         onRequest,
         WeightKind.NONE,
         0.2,
@@ -71,12 +72,12 @@
         MS);
   }
 
-  static Settings safe() {
-    return settings(false, List.of(), type("c", Effect.SAFE, DedupScope.ALL));
+  static PolicySettings safe() {
+    return settings(false, List.of(), type("c", RequestEffect.IDEMPOTENT, DeduplicationScope.ALL));
   }
 
-  static Listed up(long id) {
-    return new Listed(id, "a", 0, State.READY, 0, 1);
+  static EndpointDescriptor up(long id) {
+    return new EndpointDescriptor(id, "a", 0, EndpointStatus.READY, 0, 1);
   }
 
   List<Action> step(Event event) {
@@ -84,27 +85,31 @@
     module.handle(now, event, actions::add);
     for (Action action : actions) {
       if (action instanceof SetTimer t) {
-        timers.add(t.atNanos());
-      } else if (action instanceof Balancer.Refuse r) {
-        refusals.merge(r.id().substring(0, 1), 1, Integer::sum);
-      } else if (action instanceof Send s) {
+        timers.add(t.fireAtNanos());
+      } else if (action instanceof RejectRequest r) {
+        refusals.merge(r.requestId().substring(0, 1), 1, Integer::sum);
+      } else if (action instanceof ForwardAttempt s) {
         outstanding.add(
-            new Sent(s.id(), attempts.merge(s.id(), 1, Integer::sum) - 1, s.upstream(), now));
+            new Sent(
+                s.requestId(),
+                attempts.merge(s.requestId(), 1, Integer::sum) - 1,
+                s.endpointId(),
+                now));
       }
     }
     return actions;
   }
 
-  List<Action> list(ListKind kind, Listed... entries) {
-    return step(new ListNews(kind, List.of(entries)));
+  List<Action> list(EndpointListUpdate.Kind kind, EndpointDescriptor... entries) {
+    return step(new EndpointListUpdate(kind, List.of(entries)));
   }
 
-  Driver upstreams(int n) {
-    Listed[] entries = new Listed[n];
+  PolicyDriver upstreams(int n) {
+    EndpointDescriptor[] entries = new EndpointDescriptor[n];
     for (int i = 0; i < n; i++) {
       entries[i] = up(100 + i);
     }
-    list(ListKind.CACHED, entries);
+    list(EndpointListUpdate.Kind.CACHED, entries);
     return this;
   }
 
@@ -117,29 +122,29 @@
   }
 
   List<Action> request(String id, String type, String tenant, String key, long hint) {
-    return step(new Request(id, type, tenant, key, now + 2000 * MS, hint, false));
+    return step(new RequestArrived(id, type, tenant, key, now + 2000 * MS, hint, false));
   }
 
   /** Ends the attempt of a request at an upstream. */
-  List<Action> end(String id, long upstream, Status status, long latencyNanos) {
+  List<Action> end(String id, long upstream, AttemptStatus status, long latencyNanos) {
     Sent sent =
         outstanding.stream()
-            .filter(s -> s.id().equals(id) && s.upstream() == upstream)
+            .filter(s -> s.requestId().equals(id) && s.endpointId() == upstream)
             .findFirst()
             .get();
     return end(sent, status, latencyNanos);
   }
 
-  List<Action> end(Sent sent, Status status, long latencyNanos) {
+  List<Action> end(Sent sent, AttemptStatus status, long latencyNanos) {
     outstanding.remove(sent);
     return step(
-        new Outcome(
-            sent.id(),
+        new AttemptCompleted(
+            sent.requestId(),
             sent.attempt(),
-            sent.upstream(),
+            sent.endpointId(),
             status,
             latencyNanos,
-            status == Status.SERVED,
+            status == AttemptStatus.SERVED,
             Map.of()));
   }
 
@@ -148,23 +153,25 @@
    * it.
    */
   void endStale(String id) {
-    Sent sent = outstanding.stream().filter(s -> s.id().equals(id)).findFirst().get();
+    Sent sent = outstanding.stream().filter(s -> s.requestId().equals(id)).findFirst().get();
     outstanding.remove(sent);
-    step(new Outcome(id, sent.attempt(), sent.upstream(), Status.RESET, MS, false, Map.of(), true));
+    step(
+        new AttemptCompleted(
+            id, sent.attempt(), sent.endpointId(), AttemptStatus.RESET, MS, false, Map.of(), true));
     for (Sent again : List.copyOf(outstanding)) {
-      end(again, Status.SERVED, MS);
+      end(again, AttemptStatus.SERVED, MS);
     }
   }
 
   /** Lets time pass with upstreams that end every attempt after the latency. */
-  void serveFor(long nanos, Status status, long latencyNanos) {
+  void serveFor(long nanos, AttemptStatus status, long latencyNanos) {
     serveFor(nanos, status, latencyNanos, Long.MAX_VALUE);
   }
 
   /**
    * The same with so much of the time at most spent at the upstream, and the rest in the balancer.
    */
-  void serveFor(long nanos, Status status, long outNanos, long latencyNanos) {
+  void serveFor(long nanos, AttemptStatus status, long outNanos, long latencyNanos) {
     for (long end = now + nanos; now < end; ) {
       pass(Math.min(5 * MS, end - now));
       for (Sent s : List.copyOf(outstanding)) {
@@ -184,7 +191,7 @@
     long upstream = sentTo(request(id, "c", key));
     if (upstream >= 0) {
       pass(latencyNanos);
-      end(id, upstream, Status.SERVED, latencyNanos);
+      end(id, upstream, AttemptStatus.SERVED, latencyNanos);
     }
     return upstream;
   }
@@ -208,8 +215,8 @@
 
   static long sentTo(List<Action> actions) {
     return actions.stream()
-        .filter(a -> a instanceof Send)
-        .mapToLong(a -> ((Send) a).upstream())
+        .filter(a -> a instanceof ForwardAttempt)
+        .mapToLong(a -> ((ForwardAttempt) a).endpointId())
         .findFirst()
         .orElse(-1);
   }
--- a/src/test/java/pumicekeel/StormTest.java
+++ b/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -1,4 +1,4 @@
-package pumicekeel;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,50 +10,49 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import loadbalancer.policy.action.Action;
+import loadbalancer.policy.action.CancelAttempt;
+import loadbalancer.policy.action.FailRequest;
+import loadbalancer.policy.action.ForwardAttempt;
+import loadbalancer.policy.action.RejectRequest;
+import loadbalancer.policy.action.SetTimer;
+import loadbalancer.policy.event.AttemptCompleted;
+import loadbalancer.policy.event.AttemptStatus;
+import loadbalancer.policy.event.ClientDisconnected;
+import loadbalancer.policy.event.EndpointDescriptor;
+import loadbalancer.policy.event.EndpointListUpdate;
+import loadbalancer.policy.event.EndpointStatus;
+import loadbalancer.policy.event.Event;
+import loadbalancer.policy.event.RequestArrived;
+import loadbalancer.policy.event.TimerFired;
+import loadbalancer.policy.settings.Costs;
+import loadbalancer.policy.settings.DeduplicationScope;
+import loadbalancer.policy.settings.Limits;
+import loadbalancer.policy.settings.PolicySettings;
+import loadbalancer.policy.settings.RequestClass;
+import loadbalancer.policy.settings.RequestEffect;
+import loadbalancer.policy.settings.ServiceRules;
+import loadbalancer.policy.settings.Tenant;
+import loadbalancer.policy.settings.WeightKind;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pumicekeel.Balancer.Action;
-import pumicekeel.Balancer.Cancel;
-import pumicekeel.Balancer.ClientGone;
-import pumicekeel.Balancer.Contract;
-import pumicekeel.Balancer.DedupScope;
-import pumicekeel.Balancer.Effect;
-import pumicekeel.Balancer.Event;
-import pumicekeel.Balancer.Fail;
-import pumicekeel.Balancer.Limits;
-import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.ListNews;
-import pumicekeel.Balancer.Listed;
-import pumicekeel.Balancer.Outcome;
-import pumicekeel.Balancer.Prices;
-import pumicekeel.Balancer.Refuse;
-import pumicekeel.Balancer.Request;
-import pumicekeel.Balancer.RequestClass;
-import pumicekeel.Balancer.Send;
-import pumicekeel.Balancer.SetTimer;
-import pumicekeel.Balancer.Settings;
-import pumicekeel.Balancer.State;
-import pumicekeel.Balancer.Status;
-import pumicekeel.Balancer.Tenant;
-import pumicekeel.Balancer.TimerFired;
-import pumicekeel.Balancer.WeightKind;
 
 /**
  * Random legal events over seeds and settings; the observer knows the four rules and nothing of the
  * module.
  */
-class StormTest {
+class RandomEventsTest {
 
   private static final long MS = 1_000_000L;
 
-  private record Try(long upstream, String zone, int cell, long at) {}
+  private record Try(long endpointId, String zone, int deduplicationCell, long at) {}
 
   /** The observer's book on one request. */
   private static final class Entry {
     final RequestClass type;
     final long deadline;
     final List<Try> tries = new ArrayList<>();
-    final List<Status> ends = new ArrayList<>();
+    final List<AttemptStatus> ends = new ArrayList<>();
     boolean answered;
 
     Entry(RequestClass type, long deadline) {
@@ -67,11 +66,11 @@
   }
 
   private final Map<String, Entry> book = new LinkedHashMap<>();
-  private final Map<Long, Listed> fleet = new LinkedHashMap<>();
+  private final Map<Long, EndpointDescriptor> fleet = new LinkedHashMap<>();
   private final List<Long> timers = new ArrayList<>();
   private SplittableRandom random;
-  private Settings settings;
-  private Balancer module;
+  private PolicySettings settings;
+  private LoadBalancingPolicy module;
   private long now = 5_000_000 * MS;
 
   @ParameterizedTest
@@ -82,30 +81,32 @@
   void rulesHold(long seed) {
     random = new SplittableRandom(seed);
     settings = settings();
-    module = new AdaptiveBalancer(settings, seed);
+    module = new AdaptiveLoadBalancingPolicy(settings, seed);
     for (int i = 0; i < 8; i++) {
       change(i);
     }
-    step(new ListNews(ListKind.CACHED, List.copyOf(fleet.values())));
+    step(new EndpointListUpdate(EndpointListUpdate.Kind.CACHED, List.copyOf(fleet.values())));
     int id = 0;
     for (int round = 0; round < 3000; round++) {
       now += random.nextLong(6) * MS;
       fire();
       if (random.nextInt(100) < 4) {
-        Listed changed = change(random.nextInt(12));
+        EndpointDescriptor changed = change(random.nextInt(12));
         step(
             random.nextBoolean()
-                ? new ListNews(ListKind.DELTA, List.of(changed))
-                : new ListNews(ListKind.FULL, List.copyOf(fleet.values())));
+                ? new EndpointListUpdate(EndpointListUpdate.Kind.DELTA, List.of(changed))
+                : new EndpointListUpdate(
+                    EndpointListUpdate.Kind.FULL, List.copyOf(fleet.values())));
       } else if (random.nextInt(100) < 1) {
-        step(new ListNews(ListKind.FAILED, List.of()));
+        step(new EndpointListUpdate(EndpointListUpdate.Kind.FAILED, List.of()));
       }
       for (int n = random.nextInt(4); n > 0; n--) {
-        RequestClass type = settings.classes().get(random.nextInt(settings.classes().size()));
+        RequestClass type =
+            settings.requestClasses().get(random.nextInt(settings.requestClasses().size()));
         long deadline = now + (20 + random.nextInt(600)) * MS;
         book.put("r" + id, new Entry(type, deadline));
         step(
-            new Request(
+            new RequestArrived(
                 "r" + id++,
                 type.name(),
                 random.nextBoolean() ? "t" : null,
@@ -138,7 +139,7 @@
    */
   private int sizeOf(String field) {
     try {
-      Field f = AdaptiveBalancer.class.getDeclaredField(field);
+      Field f = AdaptiveLoadBalancingPolicy.class.getDeclaredField(field);
       f.setAccessible(true);
       Object kept = f.get(module);
       return kept instanceof Map<?, ?> map ? map.size() : ((Collection<?>) kept).size();
@@ -147,10 +148,10 @@
     }
   }
 
-  private Settings settings() {
+  private PolicySettings settings() {
     List<RequestClass> classes = new ArrayList<>();
-    for (Effect effect : Effect.values()) {
-      for (DedupScope scope : DedupScope.values()) {
+    for (RequestEffect effect : RequestEffect.values()) {
+      for (DeduplicationScope scope : DeduplicationScope.values()) {
         classes.add(
             new RequestClass(
                 effect + " " + scope,
@@ -165,7 +166,7 @@
                 false));
       }
     }
-    return new Settings(
+    return new PolicySettings(
         0,
         1 + random.nextInt(3),
         "z0",
@@ -183,9 +184,9 @@
             1,
             100 * MS,
             5000 * MS),
-        new Contract(
+        new ServiceRules(
             12 * MS, random.nextBoolean() ? 10_000 * MS : 0, 0, 0.2, 5000 * MS, 3, 2000 * MS),
-        new Prices(0, 0, 0),
+        new Costs(0, 0, 0),
         random.nextBoolean(),
         WeightKind.values()[random.nextInt(4)],
         0.1,
@@ -194,11 +195,13 @@
   }
 
   /** A new state for one upstream. */
-  private Listed change(long id) {
-    State state =
-        random.nextInt(3) > 0 ? State.READY : random.nextBoolean() ? State.DRAINING : State.GONE;
-    Listed listed =
-        new Listed(
+  private EndpointDescriptor change(long id) {
+    EndpointStatus state =
+        random.nextInt(3) > 0
+            ? EndpointStatus.READY
+            : random.nextBoolean() ? EndpointStatus.DRAINING : EndpointStatus.REMOVED;
+    EndpointDescriptor listed =
+        new EndpointDescriptor(
             id,
             "z" + id % 2,
             (int) (id / 3 * 2 + id % 2),
@@ -222,21 +225,21 @@
       for (int i = 0; i < e.tries.size(); i++) {
         boolean late = now >= e.deadline;
         if (e.ends.get(i) == null && (late || random.nextInt(100) < percent / 4)) {
-          Status status =
+          AttemptStatus status =
               e.answered && random.nextBoolean()
-                  ? Status.CANCELLED
+                  ? AttemptStatus.CANCELLED
                   : late
-                      ? Status.TIMEOUT
+                      ? AttemptStatus.TIMEOUT
                       : random.nextInt(2) == 0
-                          ? Status.SERVED
-                          : Status.values()[random.nextInt(Status.values().length)];
+                          ? AttemptStatus.SERVED
+                          : AttemptStatus.values()[random.nextInt(AttemptStatus.values().length)];
           e.ends.set(i, status);
-          e.answered |= status == Status.SERVED;
+          e.answered |= status == AttemptStatus.SERVED;
           step(
-              new Outcome(
+              new AttemptCompleted(
                   entry.getKey(),
                   i,
-                  e.tries.get(i).upstream(),
+                  e.tries.get(i).endpointId(),
                   status,
                   now - e.tries.get(i).at(),
                   e.answered,
@@ -245,10 +248,10 @@
       }
       if (!e.answered && random.nextInt(2000) == 0) {
         e.answered = true;
-        step(new ClientGone(entry.getKey()));
+        step(new ClientDisconnected(entry.getKey()));
       }
       assertTrue(
-          e.answered || now <= e.deadline + settings.contract().answerSlackNanos(),
+          e.answered || now <= e.deadline + settings.serviceRules().responseSlackNanos(),
           "late: " + entry.getKey());
     }
     book.values().removeIf(e -> e.answered && e.out() == 0);
@@ -259,49 +262,52 @@
     module.handle(now, event, actions::add);
     for (Action action : actions) {
       if (action instanceof SetTimer t) {
-        timers.add(t.atNanos());
-      } else if (action instanceof Send s) {
-        checkSend(book.get(s.id()), s);
-      } else if (action instanceof Refuse r) {
-        Entry e = book.get(r.id());
+        timers.add(t.fireAtNanos());
+      } else if (action instanceof ForwardAttempt s) {
+        checkSend(book.get(s.requestId()), s);
+      } else if (action instanceof RejectRequest r) {
+        Entry e = book.get(r.requestId());
         assertTrue(!e.answered, "one final answer");
         boolean open = e.ends.stream().anyMatch(x -> x == null || !x.provesNotRun());
         assertTrue(
             !open
-                || e.type.effect() == Effect.SAFE
-                || e.type.effect() == Effect.KEYED && e.type.dedupScope() == DedupScope.ALL,
+                || e.type.effect() == RequestEffect.IDEMPOTENT
+                || e.type.effect() == RequestEffect.IDEMPOTENT_WITH_KEY
+                    && e.type.deduplicationScope() == DeduplicationScope.ALL,
             "refusal promises too much");
         e.answered = true;
-      } else if (action instanceof Fail f) {
-        assertTrue(!book.get(f.id()).answered, "one final answer");
-        book.get(f.id()).answered = true;
-      } else if (action instanceof Cancel) {
-        assertTrue(settings.limits().cancel());
+      } else if (action instanceof FailRequest f) {
+        assertTrue(!book.get(f.requestId()).answered, "one final answer");
+        book.get(f.requestId()).answered = true;
+      } else if (action instanceof CancelAttempt) {
+        assertTrue(settings.limits().cancellation());
       }
     }
   }
 
-  private void checkSend(Entry e, Send s) {
-    Listed to = fleet.get(s.upstream());
+  private void checkSend(Entry e, ForwardAttempt s) {
+    EndpointDescriptor to = fleet.get(s.endpointId());
     assertTrue(!e.answered, "sent after the final answer");
-    assertEquals(State.READY, to.state(), "sent to a draining or gone upstream");
+    assertEquals(EndpointStatus.READY, to.status(), "sent to a draining or gone upstream");
     assertTrue(e.tries.size() < settings.limits().maxAttempts(), "too many attempts");
-    assertTrue(e.out() == 0 || settings.limits().secondCopies(), "second copy");
+    assertTrue(e.out() == 0 || settings.limits().hedging(), "second copy");
     assertTrue(now < e.deadline, "sent past the deadline");
     for (int i = 0; i < e.tries.size(); i++) {
       Try t = e.tries.get(i);
-      if (e.type.effect() != Effect.SAFE
+      if (e.type.effect() != RequestEffect.IDEMPOTENT
           && (e.ends.get(i) == null || !e.ends.get(i).provesNotRun())) {
-        assertEquals(Effect.KEYED, e.type.effect(), "unsafe sent again");
-        assertTrue(now - t.at() < e.type.dedupWindowNanos(), "resent past the window");
+        assertEquals(RequestEffect.IDEMPOTENT_WITH_KEY, e.type.effect(), "unsafe sent again");
+        assertTrue(now - t.at() < e.type.deduplicationWindowNanos(), "resent past the window");
         assertTrue(
-            e.type.dedupScope() == DedupScope.ALL
-                || e.type.dedupScope() == DedupScope.ZONE && t.zone().equals(to.zone())
-                || e.type.dedupScope() == DedupScope.CELL && t.cell() == to.cell(),
+            e.type.deduplicationScope() == DeduplicationScope.ALL
+                || e.type.deduplicationScope() == DeduplicationScope.ZONE
+                    && t.zone().equals(to.zone())
+                || e.type.deduplicationScope() == DeduplicationScope.CELL
+                    && t.deduplicationCell() == to.deduplicationCell(),
             "resent outside the group");
       }
     }
-    e.tries.add(new Try(to.upstream(), to.zone(), to.cell(), now));
+    e.tries.add(new Try(to.endpointId(), to.zone(), to.deduplicationCell(), now));
     e.ends.add(null);
   }
 }
--- a/src/test/java/pumicekeel/ColdFleet.java
+++ b/src/test/java/loadbalancer/policy/SimulatedFleet.java
@@ -1,4 +1,4 @@
-package pumicekeel;
+package loadbalancer.policy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,29 +8,28 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.DoubleUnaryOperator;
-import pumicekeel.Balancer.Action;
-import pumicekeel.Balancer.Contract;
-import pumicekeel.Balancer.Event;
-import pumicekeel.Balancer.Limits;
-import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.ListNews;
-import pumicekeel.Balancer.Listed;
-import pumicekeel.Balancer.Outcome;
-import pumicekeel.Balancer.Prices;
-import pumicekeel.Balancer.Request;
-import pumicekeel.Balancer.Send;
-import pumicekeel.Balancer.SetTimer;
-import pumicekeel.Balancer.Settings;
-import pumicekeel.Balancer.State;
-import pumicekeel.Balancer.Status;
-import pumicekeel.Balancer.TimerFired;
-import pumicekeel.Balancer.WeightKind;
+import loadbalancer.policy.action.Action;
+import loadbalancer.policy.action.ForwardAttempt;
+import loadbalancer.policy.action.SetTimer;
+import loadbalancer.policy.event.AttemptCompleted;
+import loadbalancer.policy.event.AttemptStatus;
+import loadbalancer.policy.event.EndpointDescriptor;
+import loadbalancer.policy.event.EndpointListUpdate;
+import loadbalancer.policy.event.EndpointStatus;
+import loadbalancer.policy.event.Event;
+import loadbalancer.policy.event.RequestArrived;
+import loadbalancer.policy.event.TimerFired;
+import loadbalancer.policy.settings.Costs;
+import loadbalancer.policy.settings.Limits;
+import loadbalancer.policy.settings.PolicySettings;
+import loadbalancer.policy.settings.ServiceRules;
+import loadbalancer.policy.settings.WeightKind;
 
 /**
  * Many instances that share nothing but the clock, upstreams of two cores that fall to nothing, and
  * a book on the sends to the cold ones.
  */
-final class ColdFleet {
+final class SimulatedFleet {
 
   static final long MS = 1_000_000L;
   static final long SECOND = 1000 * MS;
@@ -70,14 +69,14 @@
   private final PriorityQueue<Step> steps =
       new PriorityQueue<>(
           (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
-  private final Balancer[] balancers;
+  private final LoadBalancingPolicy[] balancers;
   private final int[] lives;
   private final long[][] free = new long[UPSTREAMS][CORES];
-  private final Listed[] listed = new Listed[UPSTREAMS];
+  private final EndpointDescriptor[] listed = new EndpointDescriptor[UPSTREAMS];
   private final Map<Long, List<Sent>> toCold = new TreeMap<>();
-  private final Map<Long, Status> broken = new HashMap<>();
+  private final Map<Long, AttemptStatus> broken = new HashMap<>();
   private final SplittableRandom random;
-  private final Contract contract;
+  private final ServiceRules contract;
   private final boolean priced;
   private final long start = 1000 * SECOND;
   private long now = start;
@@ -87,14 +86,15 @@
   /** The traffic at so many seconds, in parts of the usual. */
   DoubleUnaryOperator traffic = t -> 1;
 
-  ColdFleet(int group, Contract contract, boolean priced, long seed) {
+  SimulatedFleet(int group, ServiceRules contract, boolean priced, long seed) {
     this.contract = contract;
     this.priced = priced;
     random = new SplittableRandom(seed);
-    balancers = new Balancer[group];
+    balancers = new LoadBalancingPolicy[group];
     lives = new int[group];
     for (int i = 0; i < UPSTREAMS; i++) {
-      listed[i] = new Listed(i, "abcd".charAt(i % 4) + "", i, State.READY, 0, 1);
+      listed[i] =
+          new EndpointDescriptor(i, "abcd".charAt(i % 4) + "", i, EndpointStatus.READY, 0, 1);
     }
     for (int i = 0; i < group; i++) {
       begin(i);
@@ -102,8 +102,10 @@
     arrive();
   }
 
-  static Contract contract(double coldFrom, long warmWithin, double fallMultiple, long fallWindow) {
-    return new Contract(8 * MS, 0, 250 * MS, coldFrom, warmWithin, fallMultiple, fallWindow);
+  static ServiceRules contract(
+      double initialCapacityFraction, long warmWithin, double overloadMultiple, long fallWindow) {
+    return new ServiceRules(
+        8 * MS, 0, 250 * MS, initialCapacityFraction, warmWithin, overloadMultiple, fallWindow);
   }
 
   private void at(long when, Runnable run) {
@@ -126,41 +128,42 @@
 
   /** A balancer starts, or starts again and has forgotten all; what it had out is lost. */
   void begin(int me) {
-    Settings base = Driver.safe();
+    PolicySettings base = PolicyDriver.safe();
     lives[me]++;
     balancers[me] =
-        new AdaptiveBalancer(
-            new Settings(
+        new AdaptiveLoadBalancingPolicy(
+            new PolicySettings(
                 me,
                 balancers.length,
                 "abcd".charAt(me % 4) + "",
-                base.classes(),
+                base.requestClasses(),
                 base.tenants(),
                 new Limits(
                     true, false, false, true, true, 1000 * MS, 4, 10_000, 1, 200 * MS, 5000 * MS),
                 contract,
-                new Prices(priced ? 0.05 : 0, 0, 0),
+                new Costs(priced ? 0.05 : 0, 0, 0),
                 false,
                 WeightKind.NONE,
                 0.2,
                 true,
                 MS),
             random.nextLong());
-    step(me, new ListNews(ListKind.CACHED, List.of(listed)));
-    step(me, new ListNews(ListKind.FULL, List.of(listed)));
+    step(me, new EndpointListUpdate(EndpointListUpdate.Kind.CACHED, List.of(listed)));
+    step(me, new EndpointListUpdate(EndpointListUpdate.Kind.FULL, List.of(listed)));
   }
 
   /** An upstream restarts; each balancer is told within a tenth of a second. */
   void restart(long upstream) {
-    Listed up =
-        new Listed(upstream, listed[(int) upstream].zone(), (int) upstream, State.READY, now, 1);
+    EndpointDescriptor up =
+        new EndpointDescriptor(
+            upstream, listed[(int) upstream].zone(), (int) upstream, EndpointStatus.READY, now, 1);
     listed[(int) upstream] = up;
     toCold.put(upstream, new ArrayList<>());
     for (int i = 0; i < balancers.length; i++) {
       int me = i;
       at(
           now + random.nextLong(100 * MS),
-          () -> step(me, new ListNews(ListKind.DELTA, List.of(up))));
+          () -> step(me, new EndpointListUpdate(EndpointListUpdate.Kind.DELTA, List.of(up))));
     }
   }
 
@@ -168,7 +171,7 @@
    * From now on the upstream ends every attempt like this; a time-out is silence until the
    * deadline.
    */
-  void breakDown(long upstream, Status status) {
+  void breakDown(long upstream, AttemptStatus status) {
     broken.put(upstream, status);
   }
 
@@ -201,7 +204,7 @@
     pending.put(id, new Pending(work, now + 2 * SECOND));
     step(
         me,
-        new Request(
+        new RequestArrived(
             id,
             "c",
             null,
@@ -213,8 +216,8 @@
 
   private double warmth(long upstream, long when) {
     long started = listed[(int) upstream].startedNanos();
-    double part = (when - started) / (double) contract.warmWithinNanos();
-    return started == 0 || part >= 1 ? 1 : contract.coldFrom() * (1 - part) + part;
+    double part = (when - started) / (double) contract.warmUpNanos();
+    return started == 0 || part >= 1 ? 1 : contract.initialCapacityFraction() * (1 - part) + part;
   }
 
   private void step(int me, Event event) {
@@ -223,8 +226,8 @@
     int life = lives[me];
     for (Action action : actions) {
       if (action instanceof SetTimer t) {
-        at(t.atNanos(), () -> ifAlive(me, life, new TimerFired(t.token())));
-      } else if (action instanceof Send s) {
+        at(t.fireAtNanos(), () -> ifAlive(me, life, new TimerFired(t.timerId())));
+      } else if (action instanceof ForwardAttempt s) {
         send(me, s);
       }
     }
@@ -236,42 +239,44 @@
     }
   }
 
-  private void send(int me, Send s) {
-    int up = (int) s.upstream();
-    Pending p = pending.get(s.id());
+  private void send(int me, ForwardAttempt s) {
+    int up = (int) s.endpointId();
+    Pending p = pending.get(s.requestId());
     int attempt = p.attempts++;
     int life = lives[me];
     long sent = now;
-    Status status = broken.getOrDefault(s.upstream(), Status.SERVED);
-    long end = status == Status.TIMEOUT ? p.deadline : now + 2 * MS;
-    if (status == Status.SERVED) {
+    AttemptStatus status = broken.getOrDefault(s.endpointId(), AttemptStatus.SERVED);
+    long end = status == AttemptStatus.TIMEOUT ? p.deadline : now + 2 * MS;
+    if (status == AttemptStatus.SERVED) {
       int core = free[up][0] <= free[up][1] ? 0 : 1;
       end = Math.max(now, free[up][core]) + (long) (p.work * WORK / warmth(up, now));
       free[up][core] = end;
       if (end > p.deadline) {
         end = p.deadline;
-        status = Status.TIMEOUT;
+        status = AttemptStatus.TIMEOUT;
       }
     }
-    if (toCold.containsKey(s.upstream())) {
-      toCold.get(s.upstream()).add(new Sent(now, p.work));
+    if (toCold.containsKey(s.endpointId())) {
+      toCold.get(s.endpointId()).add(new Sent(now, p.work));
     }
-    Status as = status;
+    AttemptStatus as = status;
     at(
         end,
         () -> {
-          Status how = p.served ? Status.CANCELLED : as;
-          p.served |= how == Status.SERVED;
+          AttemptStatus how = p.served ? AttemptStatus.CANCELLED : as;
+          p.served |= how == AttemptStatus.SERVED;
           ifAlive(
               me,
               life,
-              new Outcome(s.id(), attempt, s.upstream(), how, now - sent, p.served, Map.of()));
+              new AttemptCompleted(
+                  s.requestId(), attempt, s.endpointId(), how, now - sent, p.served, Map.of()));
         });
   }
 
   /** Work that an upstream of this warmth stands in one window: with more it falls. */
   double stands(double warmth) {
-    double n = contract.fallMultiple() * CAPACITY * warmth * contract.fallWindowNanos() / SECOND;
+    double n =
+        contract.overloadMultiple() * CAPACITY * warmth * contract.overloadWindowNanos() / SECOND;
     return n + 2 * Math.sqrt(n) + 2;
   }
 
@@ -284,7 +289,7 @@
       for (int first = 0, next = 0; first < sends.size(); first++) {
         for (;
             next < sends.size()
-                && sends.get(next).at < sends.get(first).at + contract.fallWindowNanos();
+                && sends.get(next).at < sends.get(first).at + contract.overloadWindowNanos();
             next++) {
           sum += sends.get(next).work;
         }
@@ -303,9 +308,9 @@
     double sent = 0;
     double due = 0;
     for (var of : toCold.entrySet()) {
-      long end = listed[of.getKey().intValue()].startedNanos() + contract.warmWithinNanos();
+      long end = listed[of.getKey().intValue()].startedNanos() + contract.warmUpNanos();
       sent += of.getValue().stream().filter(s -> s.at < end).mapToDouble(Sent::work).sum();
-      due += USUAL * (1 + contract.coldFrom()) / 2 * contract.warmWithinNanos() / SECOND;
+      due += USUAL * (1 + contract.initialCapacityFraction()) / 2 * contract.warmUpNanos() / SECOND;
     }
     return sent / due;
   }
--- a/src/test/java/pumicekeel/ColdFleetTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartFleetTest.java
@@ -1,39 +1,40 @@
-package pumicekeel;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
+import loadbalancer.policy.event.AttemptStatus;
+import loadbalancer.policy.event.EndpointDescriptor;
+import loadbalancer.policy.event.EndpointListUpdate;
+import loadbalancer.policy.event.EndpointStatus;
+import loadbalancer.policy.settings.ServiceRules;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import pumicekeel.Balancer.Contract;
-import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.Listed;
-import pumicekeel.Balancer.State;
-import pumicekeel.Balancer.Status;
 
 /**
  * A restarted upstream falls by what all balancers send it together, and none of them knows of
  * another.
  */
-class ColdFleetTest {
+class SlowStartFleetTest {
 
-  private static final long MS = ColdFleet.MS;
+  private static final long MS = SimulatedFleet.MS;
   private static final double RESTART = 20;
   private static final int SEEDS = 3;
-  private static final Contract LONG = ColdFleet.contract(0.14, 24_000 * MS, 4, 1000 * MS);
-  private static final Contract SHORT = ColdFleet.contract(0.14, 24_000 * MS, 3, 500 * MS);
-  private static final Contract WARMER = ColdFleet.contract(0.43, 9_000 * MS, 4, 2000 * MS);
+  private static final ServiceRules LONG = SimulatedFleet.contract(0.14, 24_000 * MS, 4, 1000 * MS);
+  private static final ServiceRules SHORT = SimulatedFleet.contract(0.14, 24_000 * MS, 3, 500 * MS);
+  private static final ServiceRules WARMER =
+      SimulatedFleet.contract(0.43, 9_000 * MS, 4, 2000 * MS);
 
   /** One cause of crowding at a cold upstream. */
   private interface Trouble {
-    void prepare(ColdFleet fleet, int group);
+    void prepare(SimulatedFleet fleet, int group);
   }
 
   private record Case(
-      String name, Contract contract, int group, int cold, boolean priced, Trouble trouble) {
+      String name, ServiceRules contract, int group, int cold, boolean priced, Trouble trouble) {
     @Override
     public String toString() {
       return name
@@ -44,18 +45,18 @@
           + " cold, "
           + (priced ? "zones priced, " : "")
           + "falls in "
-          + contract.fallWindowNanos() / MS
+          + contract.overloadWindowNanos() / MS
           + " ms";
     }
 
-    ColdFleet play(long seed) {
-      ColdFleet fleet = new ColdFleet(group, contract, priced, seed);
+    SimulatedFleet play(long seed) {
+      SimulatedFleet fleet = new SimulatedFleet(group, contract, priced, seed);
       for (int i = 0; i < cold; i++) {
-        long upstream = i * 5 % ColdFleet.UPSTREAMS;
+        long upstream = i * 5 % SimulatedFleet.UPSTREAMS;
         fleet.at(RESTART, () -> fleet.restart(upstream));
       }
       trouble.prepare(fleet, group);
-      fleet.runTo(RESTART + contract.warmWithinNanos() / 1e9);
+      fleet.runTo(RESTART + contract.warmUpNanos() / 1e9);
       return fleet;
     }
   }
@@ -74,7 +75,7 @@
       fleet.traffic = t -> t >= RESTART && t < RESTART + seconds ? 0 : 1;
       fleet.at(
           RESTART + seconds,
-          () -> fleet.burst((int) (0.6 * fleet.stands(1)) * ColdFleet.UPSTREAMS, 200 * MS));
+          () -> fleet.burst((int) (0.6 * fleet.stands(1)) * SimulatedFleet.UPSTREAMS, 200 * MS));
     };
   }
 
@@ -87,10 +88,10 @@
     };
   }
 
-  private static Trouble broken(Status status, int count) {
+  private static Trouble broken(AttemptStatus status, int count) {
     return (fleet, group) -> {
       for (int i = 0; i < count; i++) {
-        long upstream = ColdFleet.UPSTREAMS - 1 - i;
+        long upstream = SimulatedFleet.UPSTREAMS - 1 - i;
         fleet.at(RESTART + 1, () -> fleet.breakDown(upstream, status));
       }
     };
@@ -113,15 +114,16 @@
       cases.add(new Case("balancers restarted", SHORT, group, 1, false, balancersRestart(-0.2, 1)));
       cases.add(
           new Case("half the balancers restarted", SHORT, group, 4, false, balancersRestart(1, 2)));
-      cases.add(new Case("two turn all away", SHORT, group, 1, false, broken(Status.FULL, 2)));
-      cases.add(new Case("two fail", SHORT, group, 1, true, broken(Status.RESET, 2)));
-      cases.add(new Case("panic", SHORT, group, 1, false, broken(Status.CONNECT_FAILED, 7)));
-      cases.add(new Case("silent", SHORT, group, 1, true, broken(Status.TIMEOUT, 7)));
-      for (Contract contract : List.of(SHORT, LONG, WARMER)) {
+      cases.add(
+          new Case("two turn all away", SHORT, group, 1, false, broken(AttemptStatus.REJECTED, 2)));
+      cases.add(new Case("two fail", SHORT, group, 1, true, broken(AttemptStatus.RESET, 2)));
+      cases.add(new Case("panic", SHORT, group, 1, false, broken(AttemptStatus.CONNECT_FAILED, 7)));
+      cases.add(new Case("silent", SHORT, group, 1, true, broken(AttemptStatus.TIMEOUT, 7)));
+      for (ServiceRules contract : List.of(SHORT, LONG, WARMER)) {
         cases.add(new Case("lull of 2", contract, group, 1, false, lull(2)));
         cases.add(
             new Case(
-                "lull of half", contract, group, 1, false, lull(contract.warmWithinNanos() / 2e9)));
+                "lull of half", contract, group, 1, false, lull(contract.warmUpNanos() / 2e9)));
         cases.add(new Case("lull of 2", contract, group, 4, true, lull(2)));
       }
     }
@@ -175,11 +177,13 @@
   }
 
   private static int sendsToCold(long hint) {
-    Driver d = new Driver(Driver.safe()).upstreams(9);
+    PolicyDriver d = new PolicyDriver(PolicyDriver.safe()).upstreams(9);
     for (int i = 0; i < 2000; i++) {
       serve(d, i, 20 * MS);
     }
-    d.list(ListKind.DELTA, new Listed(500, "a", 0, State.READY, d.now, 1));
+    d.list(
+        EndpointListUpdate.Kind.DELTA,
+        new EndpointDescriptor(500, "a", 0, EndpointStatus.READY, d.now, 1));
     int cold = 0;
     for (int i = 0; i < 200; i++) {
       cold += serve(d, i, hint) == 500 ? 1 : 0;
@@ -187,12 +191,12 @@
     return cold;
   }
 
-  private static long serve(Driver d, int i, long hint) {
+  private static long serve(PolicyDriver d, int i, long hint) {
     String id = d.nextId();
-    long upstream = Driver.sentTo(d.request(id, "c", null, "k" + i, hint));
+    long upstream = PolicyDriver.sentTo(d.request(id, "c", null, "k" + i, hint));
     d.pass(MS);
     if (upstream >= 0) {
-      d.end(id, upstream, Status.SERVED, MS);
+      d.end(id, upstream, AttemptStatus.SERVED, MS);
     }
     return upstream;
   }
