--- a/src/test/java/pumicekeel/node/OutcomeTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptOutcomeTest.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,29 +13,29 @@
  * What an upstream does and what the client is told. With one attempt and a keyed class, 429 shows
  * an outcome that proves that nothing ran, 502 one that may have run, 200 a whole answer.
  */
-class OutcomeTest {
+class AttemptOutcomeTest {
 
   private static final int REFUSED = 429;
   private static final int FAILED = 502;
 
-  private static Arguments row(String name, int status, FakeServer.Behaviour behaviour) {
+  private static Arguments row(String name, int status, FakeUpstream.Behaviour behaviour) {
     return Arguments.of(name, status, behaviour);
   }
 
-  private static FakeServer.Behaviour says(String answer) {
-    return (request, connection, out) -> FakeServer.write(out, answer);
+  private static FakeUpstream.Behaviour says(String answer) {
+    return (request, connection, out) -> FakeUpstream.write(out, answer);
   }
 
-  private static FakeServer.Behaviour saysAndEnds(String answer) {
+  private static FakeUpstream.Behaviour saysAndEnds(String answer) {
     return (request, connection, out) -> {
-      FakeServer.write(out, answer);
+      FakeUpstream.write(out, answer);
       connection.close();
     };
   }
 
   static Stream<Arguments> behaviours() {
     return Stream.of(
-        row("whole answer", 200, says(FakeServer.ok("fine"))),
+        row("whole answer", 200, says(FakeUpstream.ok("fine"))),
         row(
             "chunked answer",
             200,
@@ -43,11 +43,11 @@
         row(
             "after an interim answer",
             200,
-            says("HTTP/1.1 100 Continue\r\n\r\n" + FakeServer.ok("fine"))),
+            says("HTTP/1.1 100 Continue\r\n\r\n" + FakeUpstream.ok("fine"))),
         row(
             "no reason given",
             200,
-            says("HTTP/1.1 103 \r\n\r\n" + FakeServer.ok("fine").replace(" OK", " "))),
+            says("HTTP/1.1 103 \r\n\r\n" + FakeUpstream.ok("fine").replace(" OK", " "))),
         row("error", FAILED, says("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")),
         row(
             "turned away",
@@ -77,15 +77,15 @@
             saysAndEnds("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n")),
         row("no length", FAILED, saysAndEnds("HTTP/1.1 200 OK\r\n\r\nfine")),
         row("malformed", FAILED, says("nonsense\r\n\r\n")),
-        row("too large", FAILED, says(FakeServer.ok("x".repeat(70_000)))));
+        row("too large", FAILED, says(FakeUpstream.ok("x".repeat(70_000)))));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("behaviours")
-  void clientIsToldTheTruth(String name, int status, FakeServer.Behaviour behaviour)
+  void clientIsToldTheTruth(String name, int status, FakeUpstream.Behaviour behaviour)
       throws Exception {
-    try (FakeServer upstream = new FakeServer(behaviour)) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+    try (FakeUpstream upstream = new FakeUpstream(behaviour)) {
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         TestClient.Reply reply = client.call(TestClient.order("1", 15_000));
         assertEquals(status, reply.status());
@@ -98,9 +98,9 @@
 
   @Test
   void upstreamThatIsNotThereIsARefusal() throws Exception {
-    FakeServer upstream = FakeServer.serving("fine");
+    FakeUpstream upstream = FakeUpstream.serving("fine");
     upstream.close();
-    TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+    TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
     try (TestClient client = new TestClient(node.address)) {
       assertEquals(REFUSED, client.call(TestClient.order("1", 15_000)).status());
     }
@@ -108,14 +108,14 @@
 
   @Test
   void silentUpstreamIsAFailureAndItsConnectionsAreNotUsedAgain() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals(200, client.call(TestClient.order("1", 15_000)).status());
         upstream.behaviour = (request, connection, out) -> {};
         assertEquals(FAILED, client.call(TestClient.order("2", 1_000)).status());
-        TestNode.until(() -> upstream.closedByPeer.get() == 1);
-        upstream.behaviour = says(FakeServer.ok("fine"));
+        TestProxy.until(() -> upstream.closedByPeer.get() == 1);
+        upstream.behaviour = says(FakeUpstream.ok("fine"));
         assertEquals(200, client.call(TestClient.order("3", 15_000)).status());
         assertEquals(2, upstream.connections.size());
       }
@@ -124,8 +124,8 @@
 
   @Test
   void requestGoesOnUnchangedAndItsConnectionIsUsedAgain() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         client.call(TestClient.order("1", 15_000));
         client.call(TestClient.look("2", 15_000, ""));
@@ -145,18 +145,18 @@
 
   @Test
   void connectionThatThePeerClosedIsNotWrittenTo() throws Exception {
-    try (FakeServer upstream =
-        new FakeServer(
+    try (FakeUpstream upstream =
+        new FakeUpstream(
             (request, connection, out) -> {
-              FakeServer.write(out, FakeServer.ok("fine"));
+              FakeUpstream.write(out, FakeUpstream.ok("fine"));
               connection.shutdownOutput();
             })) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         for (int i = 1; i <= 3; i++) {
           int calls = i;
           assertEquals(200, client.call(TestClient.order("o" + i, 15_000)).status());
-          TestNode.until(() -> upstream.closedByPeer.get() == calls);
+          TestProxy.until(() -> upstream.closedByPeer.get() == calls);
           assertEquals(calls, upstream.connections.size());
         }
       }
@@ -165,13 +165,13 @@
 
   @Test
   void clientThatLeavesEndsItsAttempt() throws Exception {
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {})) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+    try (FakeUpstream upstream = new FakeUpstream((request, connection, out) -> {})) {
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         client.send(TestClient.order("1", 15_000));
-        TestNode.until(() -> upstream.requests.size() == 1);
+        TestProxy.until(() -> upstream.requests.size() == 1);
       }
-      TestNode.until(() -> upstream.closedByPeer.get() == 1);
+      TestProxy.until(() -> upstream.closedByPeer.get() == 1);
     }
   }
 }
--- a/src/test/java/pumicekeel/node/ClientLimitsTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientConnectionLimitsTest.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,13 +20,13 @@
  * Clients that say nothing, never finish, hide something or flood: each gets an error or an end,
  * all others go on.
  */
-class ClientLimitsTest {
+class ClientConnectionLimitsTest {
 
   private static final String ORDER = TestClient.order("1", 15_000);
 
   @Test
   void silentConnectionIsEnded() throws Exception {
-    TestNode node = new TestNode(TestNode.nowhere(), 1);
+    TestProxy node = new TestProxy(TestProxy.nowhere(), 1);
     try (TestClient silent = new TestClient(node.address)) {
       assertTrue(silent.ended());
     }
@@ -45,8 +45,8 @@
   @ParameterizedTest
   @MethodSource("unfinished")
   void requestThatNeverEndsIsAnswered408AndEnded(String part) throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals(408, client.call(part).status());
         assertTrue(client.ended());
@@ -92,8 +92,8 @@
   @ParameterizedTest
   @MethodSource("smuggled")
   void framingThatCanBeReadInTwoWaysIsRefusedAndEnded(int status, String request) throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address);
           TestClient next = new TestClient(node.address)) {
         assertEquals(status, client.call(request).status());
@@ -117,8 +117,8 @@
   @ParameterizedTest
   @MethodSource("repeated")
   void repeatedProtocolHeaderIsRefused(String header) throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals(400, client.call(ORDER.replace("Host: h", "Host: h\r\n" + header)).status());
         assertEquals(0, upstream.requests.size());
@@ -128,8 +128,8 @@
 
   @Test
   void clientToldOfItsMistakeIsSlowedAndStillServed() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals(
             400, client.call(TestClient.look("1", 15_000, "").replace("acme", "nobody")).status());
@@ -142,10 +142,10 @@
 
   @Test
   void silentConnectionsAtTheLimitGiveWayToOneThatAsks() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node =
-          new TestNode(
-              TestNode.json(TestNode.nowhere(), 1, upstream)
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      TestProxy node =
+          new TestProxy(
+              TestProxy.json(TestProxy.nowhere(), 1, upstream)
                   .replace("\"sockets\":1024", "\"sockets\":20"));
       List<TestClient> silent = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
@@ -162,22 +162,22 @@
 
   @Test
   void clientThatSentTooMuchIsSeenToLeave() throws Exception {
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {})) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+    try (FakeUpstream upstream = new FakeUpstream((request, connection, out) -> {})) {
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         client.send(TestClient.look("1", 15_000, ""));
-        TestNode.until(() -> upstream.requests.size() == 1);
+        TestProxy.until(() -> upstream.requests.size() == 1);
         client.send(TestClient.look("2", 15_000, ""));
       }
       long start = System.nanoTime();
-      TestNode.until(() -> upstream.closedByPeer.get() == 1);
+      TestProxy.until(() -> upstream.closedByPeer.get() == 1);
       assertTrue(System.nanoTime() - start < 14_000_000_000L, "before the request's time was up");
     }
   }
 
   @Test
   void warmUpIsAnsweredToNobodyElse() throws Exception {
-    TestNode node = new TestNode(TestNode.nowhere(), 1);
+    TestProxy node = new TestProxy(TestProxy.nowhere(), 1);
     try (TestClient client = new TestClient(node.address)) {
       assertEquals(400, client.call("GET /live HTTP/1.1\r\nHost: h\r\n\r\n").status());
     }
@@ -192,23 +192,23 @@
     EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     List<TestClient> crowd = new ArrayList<>();
     try {
-      TestSide side = new TestSide(loop, event -> {});
+      TestDownstreamServer side = new TestDownstreamServer(loop, event -> {});
       CountDownLatch behind = new CountDownLatch(1);
-      loop.execute(() -> TestNode.await(behind));
-      for (int i = 0; i < 2 * TestSide.MOST; i++) {
+      loop.execute(() -> TestProxy.await(behind));
+      for (int i = 0; i < 2 * TestDownstreamServer.MOST; i++) {
         crowd.add(new TestClient(side.address));
       }
       behind.countDown();
       int[] most = {0};
-      TestNode.until(
+      TestProxy.until(
           () -> {
             most[0] = Math.max(most[0], side.open());
-            return most[0] >= TestSide.MOST;
+            return most[0] >= TestDownstreamServer.MOST;
           });
       for (int i = 0; i < 1_000; i++) {
         most[0] = Math.max(most[0], side.open());
       }
-      assertEquals(TestSide.MOST, most[0]);
+      assertEquals(TestDownstreamServer.MOST, most[0]);
     } finally {
       for (TestClient client : crowd) {
         client.close();
--- a/src/test/java/pumicekeel/node/ClientLeavesTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientDisconnectTest.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
@@ -14,24 +14,24 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
+import loadbalancer.policy.event.AttemptCompleted;
+import loadbalancer.policy.event.AttemptStatus;
+import loadbalancer.policy.event.ClientDisconnected;
+import loadbalancer.policy.event.EndpointStatus;
+import loadbalancer.policy.event.Event;
+import loadbalancer.policy.event.RequestArrived;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import pumicekeel.Balancer.ClientGone;
-import pumicekeel.Balancer.Event;
-import pumicekeel.Balancer.Outcome;
-import pumicekeel.Balancer.Request;
-import pumicekeel.Balancer.State;
-import pumicekeel.Balancer.Status;
 
 /**
  * Clients that leave while their request waits: it is given up at once, and nothing is sent on for
  * nobody.
  */
-class ClientLeavesTest {
+class ClientDisconnectTest {
 
   /**
    * The longest that the class allows: a request that ends by its time ends far behind all that is
@@ -54,7 +54,7 @@
   /** What is done on the loop ahead of a request's decision. */
   private volatile Runnable onRequest = () -> {};
 
-  private TestSide start(FakeServer... upstreams) throws Exception {
+  private TestDownstreamServer start(FakeUpstream... upstreams) throws Exception {
     return start(true, upstreams);
   }
 
@@ -62,15 +62,15 @@
    * Requests wait in the module for as long as their clients do: one that was refused would prove
    * nothing.
    */
-  private TestSide start(boolean cancels, FakeServer... upstreams) throws Exception {
-    return new TestSide(
+  private TestDownstreamServer start(boolean cancels, FakeUpstream... upstreams) throws Exception {
+    return new TestDownstreamServer(
         loop,
         event -> {
-          if (event instanceof ClientGone || event instanceof Outcome) {
+          if (event instanceof ClientDisconnected || event instanceof AttemptCompleted) {
             ends.add(event);
-          } else if (event instanceof Request r) {
+          } else if (event instanceof RequestArrived r) {
             onRequest.run();
-            taken.add(r.id());
+            taken.add(r.requestId());
           }
         },
         configuration ->
@@ -110,48 +110,51 @@
   @MethodSource("behind")
   void leavingIsSeenWhateverComesBehindTheRequest(
       String name, String at, String later, boolean reset) throws Exception {
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {})) {
-      TestSide side = start(upstream);
+    try (FakeUpstream upstream = new FakeUpstream((request, connection, out) -> {})) {
+      TestDownstreamServer side = start(upstream);
       try (TestClient client = new TestClient(side.address)) {
         client.send(TestClient.look("1", LEFT_MILLIS, "") + at);
-        TestNode.until(() -> upstream.requests.size() == 1);
+        TestProxy.until(() -> upstream.requests.size() == 1);
         client.send(later).leave(reset);
       }
-      assertInstanceOf(ClientGone.class, ends.poll(30, TimeUnit.SECONDS), "its time was not up");
-      TestNode.until(() -> upstream.closedByPeer.get() == 1);
+      assertInstanceOf(
+          ClientDisconnected.class, ends.poll(30, TimeUnit.SECONDS), "its time was not up");
+      TestProxy.until(() -> upstream.closedByPeer.get() == 1);
     }
   }
 
   /** The penalty for a mistake stops the reading, but not while a request waits. */
   @Test
   void leavingIsSeenBehindAMistake() throws Exception {
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {})) {
-      TestSide side = start(upstream);
+    try (FakeUpstream upstream = new FakeUpstream((request, connection, out) -> {})) {
+      TestDownstreamServer side = start(upstream);
       try (TestClient client = new TestClient(side.address)) {
         client.send(
             TestClient.look("0", LEFT_MILLIS, "").replace("acme", "nobody")
                 + TestClient.look("1", LEFT_MILLIS, "")
                 + TestClient.look("2", LEFT_MILLIS, ""));
-        TestNode.until(() -> upstream.requests.size() == 1);
+        TestProxy.until(() -> upstream.requests.size() == 1);
         client.leave(false);
       }
-      assertInstanceOf(ClientGone.class, ends.poll(30, TimeUnit.SECONDS), "its time was not up");
+      assertInstanceOf(
+          ClientDisconnected.class, ends.poll(30, TimeUnit.SECONDS), "its time was not up");
     }
   }
 
   @Test
   void floodBehindARequestIsAnsweredAtOnceAndItsAttemptGivenUp() throws Exception {
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {})) {
-      TestSide side = start(upstream);
+    try (FakeUpstream upstream = new FakeUpstream((request, connection, out) -> {})) {
+      TestDownstreamServer side = start(upstream);
       try (TestClient client = new TestClient(side.address)) {
         client.send(TestClient.look("1", LEFT_MILLIS, ""));
-        TestNode.until(() -> upstream.requests.size() == 1);
+        TestProxy.until(() -> upstream.requests.size() == 1);
         // Just over what is dropped: more would meet the closed connection while it is written.
         client.send("x".repeat((64 << 10) + 1));
         assertEquals(400, client.read().status());
       }
-      assertInstanceOf(ClientGone.class, ends.poll(30, TimeUnit.SECONDS), "its time was not up");
-      TestNode.until(() -> upstream.closedByPeer.get() == 1);
+      assertInstanceOf(
+          ClientDisconnected.class, ends.poll(30, TimeUnit.SECONDS), "its time was not up");
+      TestProxy.until(() -> upstream.closedByPeer.get() == 1);
     }
   }
 
@@ -175,19 +178,19 @@
   @MethodSource("unread")
   void requestThatIsReadOnceItsClientHasLeftIsNotSent(String name, String more, boolean reset)
       throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestSide side = start(upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      TestDownstreamServer side = start(upstream);
       try (TestClient client = new TestClient(side.address)) {
         assertEquals(
             200,
             client.call(TestClient.look("1", LEFT_MILLIS, "")).status(),
             "a connection is there now");
         CountDownLatch behind = new CountDownLatch(1);
-        loop.execute(() -> TestNode.await(behind));
+        loop.execute(() -> TestProxy.await(behind));
         client.send(TestClient.look("2", LEFT_MILLIS, "")).send(more).leave(reset);
         behind.countDown();
       }
-      TestNode.until(() -> side.open() == 0);
+      TestProxy.until(() -> side.open() == 0);
       assertNextIsServed(side, upstream, 2);
     }
   }
@@ -200,24 +203,24 @@
       CountDownLatch left = new CountDownLatch(leavesFirst ? 1 : 0);
       CountDownLatch mayAnswer = new CountDownLatch(1);
       CountDownLatch answered = new CountDownLatch(1);
-      try (FakeServer upstream =
-          new FakeServer(
+      try (FakeUpstream upstream =
+          new FakeUpstream(
               (request, connection, out) -> {
                 mayAnswer.await();
                 left.await();
-                FakeServer.write(
+                FakeUpstream.write(
                     out,
                     request.contains("X-Correlation-Id: 1\n")
                         ? UNPROCESSED
-                        : FakeServer.ok("fine"));
+                        : FakeUpstream.ok("fine"));
                 answered.countDown();
               })) {
-        TestSide side = start(upstream);
+        TestDownstreamServer side = start(upstream);
         try (TestClient client = new TestClient(side.address)) {
           client.send(TestClient.look("1", LEFT_MILLIS, ""));
-          TestNode.until(() -> upstream.requests.size() == 1);
+          TestProxy.until(() -> upstream.requests.size() == 1);
           CountDownLatch behind = new CountDownLatch(1);
-          loop.execute(() -> TestNode.await(behind));
+          loop.execute(() -> TestProxy.await(behind));
           mayAnswer.countDown();
           if (!leavesFirst) {
             // The loop reads first what was there first: the outcome, and tries again ahead of the
@@ -229,7 +232,7 @@
           answered.await();
           behind.countDown();
         }
-        TestNode.until(() -> side.open() == 0);
+        TestProxy.until(() -> side.open() == 0);
         assertNextIsServed(side, upstream, 2);
       }
     }
@@ -254,19 +257,19 @@
   @MethodSource("ways")
   void requestThatIsQueuedIsNotSentOnceItsClientHasLeft(
       boolean cancels, boolean reset, boolean seen) throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestSide side = start(cancels, upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      TestDownstreamServer side = start(cancels, upstream);
       try (TestClient client = new TestClient(side.address)) {
         assertEquals(
             200,
             client.call(TestClient.look("1", LEFT_MILLIS, "")).status(),
             "a connection is there now");
-        side.list(0, upstream, State.DRAINING).get();
+        side.list(0, upstream, EndpointStatus.DRAINING).get();
         client.send(TestClient.look("2", LEFT_MILLIS, ""));
-        TestNode.until(() -> taken.contains("2"));
-        leave(client, reset, seen, () -> side.list(0, upstream, State.READY));
+        TestProxy.until(() -> taken.contains("2"));
+        leave(client, reset, seen, () -> side.list(0, upstream, EndpointStatus.READY));
       }
-      TestNode.until(() -> side.open() == 0);
+      TestProxy.until(() -> side.open() == 0);
       assertNextIsServed(side, upstream, 2);
       assertEquals(List.of(), List.copyOf(side.defects));
     }
@@ -280,41 +283,46 @@
     int fill = 8;
     CountDownLatch room = new CountDownLatch(1);
     CountDownLatch answered = new CountDownLatch(fill);
-    try (FakeServer full =
-            new FakeServer(
+    try (FakeUpstream full =
+            new FakeUpstream(
                 (request, connection, out) -> {
                   room.await();
-                  FakeServer.write(out, FakeServer.ok("fine"));
+                  FakeUpstream.write(out, FakeUpstream.ok("fine"));
                   answered.countDown();
                 });
-        FakeServer refuses =
-            new FakeServer((request, connection, out) -> FakeServer.write(out, UNPROCESSED))) {
-      TestSide side = start(cancels, full);
+        FakeUpstream refuses =
+            new FakeUpstream((request, connection, out) -> FakeUpstream.write(out, UNPROCESSED))) {
+      TestDownstreamServer side = start(cancels, full);
       List<TestClient> others = new ArrayList<>();
       for (int i = 0; i < fill; i++) {
         others.add(new TestClient(side.address).send(TestClient.look("fill" + i, LEFT_MILLIS, "")));
       }
-      TestNode.until(() -> full.requests.size() == fill);
-      side.list(1, refuses, State.READY).get();
+      TestProxy.until(() -> full.requests.size() == fill);
+      side.list(1, refuses, EndpointStatus.READY).get();
       try (TestClient client = new TestClient(side.address)) {
         client.send(TestClient.look("retried", LEFT_MILLIS, ""));
-        TestNode.until(
-            () -> ends.stream().anyMatch(e -> e instanceof Outcome o && o.status() == Status.FULL));
+        TestProxy.until(
+            () ->
+                ends.stream()
+                    .anyMatch(
+                        e ->
+                            e instanceof AttemptCompleted o
+                                && o.status() == AttemptStatus.REJECTED));
         leave(
             client,
             reset,
             seen,
             () -> {
               room.countDown();
-              TestNode.await(answered);
+              TestProxy.await(answered);
             });
         for (TestClient other : others) {
           assertEquals(200, other.read().status());
           other.close();
         }
       }
-      TestNode.until(() -> side.open() == 0);
-      side.list(1, refuses, State.GONE).get();
+      TestProxy.until(() -> side.open() == 0);
+      side.list(1, refuses, EndpointStatus.REMOVED).get();
       assertNextIsServed(side, full, fill + 1);
       assertEquals(1, refuses.requests.size());
       assertEquals(List.of(), List.copyOf(side.defects));
@@ -327,10 +335,10 @@
     CountDownLatch behind = new CountDownLatch(1);
     if (seen) {
       client.leave(reset);
-      TestNode.until(() -> ends.stream().anyMatch(ClientGone.class::isInstance));
+      TestProxy.until(() -> ends.stream().anyMatch(ClientDisconnected.class::isInstance));
       room.run();
     } else {
-      loop.execute(() -> TestNode.await(behind));
+      loop.execute(() -> TestProxy.await(behind));
       room.run();
       client.leave(reset);
       behind.countDown();
@@ -343,19 +351,19 @@
   void requestWhoseConnectionComesUpOnceItsClientHasLeftIsNotSent(
       String name, String more, boolean reset) throws Exception {
     for (boolean cancels : new boolean[] {true, false}) {
-      try (FakeServer upstream = FakeServer.serving("fine")) {
-        TestSide side = start(cancels, upstream);
+      try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+        TestDownstreamServer side = start(cancels, upstream);
         CountDownLatch behind = new CountDownLatch(1);
         // Behind the task that connects, which the decision adds.
-        onRequest = () -> loop.execute(() -> loop.execute(() -> TestNode.await(behind)));
+        onRequest = () -> loop.execute(() -> loop.execute(() -> TestProxy.await(behind)));
         try (TestClient client = new TestClient(side.address)) {
           client.send(TestClient.look("1", LEFT_MILLIS, ""));
-          TestNode.until(() -> upstream.connections.size() == 1);
+          TestProxy.until(() -> upstream.connections.size() == 1);
           client.send(more).leave(reset);
           onRequest = () -> {};
           behind.countDown();
         }
-        TestNode.until(() -> side.open() == 0);
+        TestProxy.until(() -> side.open() == 0);
         assertNextIsServed(side, upstream, 1);
       }
     }
@@ -369,8 +377,8 @@
   @MethodSource("unread")
   void requestBehindAMistakeIsNotSentOnceItsClientHasLeft(String name, String more, boolean reset)
       throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestSide side = start(upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      TestDownstreamServer side = start(upstream);
       try (TestClient client = new TestClient(side.address)) {
         assertEquals(
             200,
@@ -380,11 +388,11 @@
             400,
             client.call(TestClient.look("2", LEFT_MILLIS, "").replace("acme", "nobody")).status());
         CountDownLatch behind = new CountDownLatch(1);
-        loop.execute(() -> TestNode.await(behind));
+        loop.execute(() -> TestProxy.await(behind));
         client.send(TestClient.look("3", LEFT_MILLIS, "")).send(more).leave(reset);
         behind.countDown();
       }
-      TestNode.until(() -> side.open() == 0);
+      TestProxy.until(() -> side.open() == 0);
       assertNextIsServed(side, upstream, 2);
     }
   }
@@ -395,32 +403,33 @@
    */
   @Test
   void clientThatEndsItsHalfHasLeft() throws Exception {
-    try (FakeServer upstream =
-        new FakeServer(
+    try (FakeUpstream upstream =
+        new FakeUpstream(
             (request, connection, out) -> {
               if (!request.contains("X-Correlation-Id: 1\n")) {
-                FakeServer.write(out, FakeServer.ok("fine"));
+                FakeUpstream.write(out, FakeUpstream.ok("fine"));
               }
             })) {
-      TestSide side = start(upstream);
+      TestDownstreamServer side = start(upstream);
       try (TestClient seen = new TestClient(side.address);
           TestClient unseen = new TestClient(side.address)) {
         seen.send(TestClient.look("1", LEFT_MILLIS, "Connection: close\r\n"));
-        TestNode.until(() -> upstream.requests.size() == 1);
+        TestProxy.until(() -> upstream.requests.size() == 1);
         seen.endOutput();
-        assertInstanceOf(ClientGone.class, ends.poll(30, TimeUnit.SECONDS), "its time was not up");
+        assertInstanceOf(
+            ClientDisconnected.class, ends.poll(30, TimeUnit.SECONDS), "its time was not up");
         assertTrue(seen.ended());
         assertEquals(
             200,
             unseen.call(TestClient.look("2", LEFT_MILLIS, "")).status(),
             "a connection is there now");
         CountDownLatch behind = new CountDownLatch(1);
-        loop.execute(() -> TestNode.await(behind));
+        loop.execute(() -> TestProxy.await(behind));
         unseen.send(TestClient.look("3", LEFT_MILLIS, "Connection: close\r\n")).endOutput();
         behind.countDown();
         assertTrue(unseen.ended());
       }
-      TestNode.until(() -> side.open() == 0);
+      TestProxy.until(() -> side.open() == 0);
       assertNextIsServed(side, upstream, 3);
     }
   }
@@ -433,25 +442,25 @@
   @ValueSource(booleans = {false, true})
   void clientThatAsksAgainOnAnotherConnectionIsAnswered(boolean reset) throws Exception {
     CountDownLatch left = new CountDownLatch(1);
-    try (FakeServer upstream =
-        new FakeServer(
+    try (FakeUpstream upstream =
+        new FakeUpstream(
             (request, connection, out) -> {
               if (request.contains("X-Correlation-Id: again\n")) {
                 left.await();
               }
-              FakeServer.write(out, FakeServer.ok("fine"));
+              FakeUpstream.write(out, FakeUpstream.ok("fine"));
             })) {
-      TestSide side = start(upstream);
+      TestDownstreamServer side = start(upstream);
       try (TestClient first = new TestClient(side.address);
           TestClient second = new TestClient(side.address)) {
         assertEquals(200, first.call(TestClient.look("1", LEFT_MILLIS, "")).status());
         assertEquals(200, second.call(TestClient.look("2", LEFT_MILLIS, "")).status());
         CountDownLatch behind = new CountDownLatch(1);
-        loop.execute(() -> TestNode.await(behind));
+        loop.execute(() -> TestProxy.await(behind));
         first.send(TestClient.look("again", LEFT_MILLIS, "")).leave(reset);
         second.send(TestClient.look("again", LEFT_MILLIS, ""));
         behind.countDown();
-        TestNode.until(() -> side.open() == 1);
+        TestProxy.until(() -> side.open() == 1);
         left.countDown();
         assertEquals(200, second.read().status());
       }
@@ -459,7 +468,7 @@
     }
   }
 
-  private void assertNextIsServed(TestSide side, FakeServer upstream, int requests)
+  private void assertNextIsServed(TestDownstreamServer side, FakeUpstream upstream, int requests)
       throws Exception {
     try (TestClient next = new TestClient(side.address)) {
       assertEquals(200, next.call(TestClient.look("next", LEFT_MILLIS, "")).status());
--- a/src/test/java/pumicekeel/node/FakeServer.java
+++ b/src/test/java/loadbalancer/proxy/FakeUpstream.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy;
 
 import java.io.BufferedReader;
 import java.io.Closeable;
@@ -17,20 +17,20 @@
 /**
  * A small HTTP server on a loopback port: an upstream or a discovery that behaves as a test wants.
  */
-final class FakeServer implements Closeable {
+public final class FakeUpstream implements Closeable {
 
   /** Answers one request, whose text is given; may write nothing, or close the connection. */
-  interface Behaviour {
+  public interface Behaviour {
     void answer(String request, Socket connection, OutputStream out) throws Exception;
   }
 
-  final List<String> requests = new CopyOnWriteArrayList<>();
-  final List<Socket> connections = new CopyOnWriteArrayList<>();
-  final AtomicInteger closedByPeer = new AtomicInteger();
-  volatile Behaviour behaviour;
+  public final List<String> requests = new CopyOnWriteArrayList<>();
+  public final List<Socket> connections = new CopyOnWriteArrayList<>();
+  public final AtomicInteger closedByPeer = new AtomicInteger();
+  public volatile Behaviour behaviour;
   private final ServerSocket listener;
 
-  FakeServer(Behaviour behaviour) throws IOException {
+  public FakeUpstream(Behaviour behaviour) throws IOException {
     this.behaviour = behaviour;
     listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     daemon(
@@ -44,15 +44,15 @@
   }
 
   /** A server that answers every request with a 200 and this body. */
-  static FakeServer serving(String body) throws IOException {
-    return new FakeServer((request, connection, out) -> write(out, ok(body)));
+  public static FakeUpstream serving(String body) throws IOException {
+    return new FakeUpstream((request, connection, out) -> write(out, ok(body)));
   }
 
-  static String ok(String body) {
+  public static String ok(String body) {
     return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
-  static void write(OutputStream out, String text) throws IOException {
+  public static void write(OutputStream out, String text) throws IOException {
     out.write(text.getBytes(StandardCharsets.UTF_8));
     out.flush();
   }
@@ -102,7 +102,7 @@
     }
   }
 
-  InetSocketAddress address() {
+  public InetSocketAddress address() {
     return (InetSocketAddress) listener.getLocalSocketAddress();
   }
 
--- a/src/test/java/pumicekeel/node/DrainTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,7 +16,7 @@
  * A planned stop, step by step: each client that is owed an answer gets it, and the rest is closed
  * in the end.
  */
-class DrainTest {
+class GracefulShutdownTest {
 
   private static final String LOOK = TestClient.look("1", 20_000, "");
 
@@ -30,8 +30,8 @@
 
   @Test
   void keptConnectionIsServedOnUntilTheIdleOnesGo() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestSide side = new TestSide(loop, event -> {}, upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      TestDownstreamServer side = new TestDownstreamServer(loop, event -> {}, upstream);
       try (TestClient client = new TestClient(side.address)) {
         side.drain();
         TestClient.Reply reply = client.call(LOOK);
@@ -40,20 +40,20 @@
         assertEquals("fine", client.call(LOOK).body());
         side.closeIdle();
         assertTrue(client.ended());
-        TestNode.until(() -> side.open() == 0);
+        TestProxy.until(() -> side.open() == 0);
       }
     }
   }
 
   @Test
   void requestThatHasComeInPartIsServedOnceItIsWhole() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestSide side = new TestSide(loop, event -> {}, upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      TestDownstreamServer side = new TestDownstreamServer(loop, event -> {}, upstream);
       try (TestClient client = new TestClient(side.address)) {
         assertEquals("fine", client.call(LOOK).body());
         String order = TestClient.order("2", 20_000);
         client.send(order.substring(0, order.length() - 2));
-        TestNode.until(() -> side.inPart() == 1);
+        TestProxy.until(() -> side.inPart() == 1);
         side.closeIdle();
         TestClient.Reply reply = client.call(order.substring(order.length() - 2));
         assertEquals("fine", reply.body());
@@ -65,10 +65,10 @@
 
   @Test
   void newConnectionMayStillAsk() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestSide side = new TestSide(loop, event -> {}, upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      TestDownstreamServer side = new TestDownstreamServer(loop, event -> {}, upstream);
       try (TestClient client = new TestClient(side.address)) {
-        TestNode.until(() -> side.open() == 1);
+        TestProxy.until(() -> side.open() == 1);
         side.closeIdle();
         TestClient.Reply reply = client.call(LOOK);
         assertEquals("fine", reply.body());
@@ -81,20 +81,20 @@
   @Test
   void inTheEndPartsAreAnsweredSilentOnesClosedAndWhatWasTakenIsServed() throws Exception {
     CountDownLatch held = new CountDownLatch(1);
-    try (FakeServer upstream =
-        new FakeServer(
+    try (FakeUpstream upstream =
+        new FakeUpstream(
             (request, connection, out) -> {
               held.await();
-              FakeServer.write(out, FakeServer.ok("fine"));
+              FakeUpstream.write(out, FakeUpstream.ok("fine"));
             })) {
-      TestSide side = new TestSide(loop, event -> {}, upstream);
+      TestDownstreamServer side = new TestDownstreamServer(loop, event -> {}, upstream);
       try (TestClient part = new TestClient(side.address);
           TestClient silent = new TestClient(side.address);
           TestClient taken = new TestClient(side.address)) {
         taken.send(LOOK);
-        TestNode.until(() -> upstream.requests.size() == 1);
+        TestProxy.until(() -> upstream.requests.size() == 1);
         part.send("GET /look");
-        TestNode.until(() -> side.inPart() == 1);
+        TestProxy.until(() -> side.inPart() == 1);
         side.closeIdle();
         side.endUntaken();
         assertEquals(408, part.read().status());
@@ -103,7 +103,7 @@
         held.countDown();
         assertEquals("fine", taken.read().body());
         assertTrue(taken.ended());
-        TestNode.until(() -> side.open() == 0);
+        TestProxy.until(() -> side.open() == 0);
       }
     }
   }
--- a/src/test/java/pumicekeel/node/IdleClients.java
+++ b/src/test/java/loadbalancer/proxy/IdleClients.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -9,11 +9,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** Many clients that each send one thing and then rest, each on a connection of its own. */
-final class IdleClients implements Closeable {
+public final class IdleClients implements Closeable {
 
-  static final String NOTHING = "";
-  static final String HALF_A_HEAD = "GET /look HTTP/1.1\r\nHost: h\r\n";
-  static final String ASKS_ONCE = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
+  public static final String NOTHING = "";
+  public static final String HALF_A_HEAD = "GET /look HTTP/1.1\r\nHost: h\r\n";
+  public static final String ASKS_ONCE = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
 
   private static final long PERIOD_MILLIS = 5;
 
@@ -29,7 +29,7 @@
     }
 
     /** Whether it has been ended. */
-    boolean ended(ByteBuffer scratch) throws IOException {
+    public boolean ended(ByteBuffer scratch) throws IOException {
       try {
         if (!socket.isConnected() && !socket.finishConnect()) {
           return false;
@@ -43,7 +43,7 @@
   }
 
   /** How many connections the balancer has ended. */
-  final AtomicInteger ended = new AtomicInteger();
+  public final AtomicInteger ended = new AtomicInteger();
 
   private final Client[] clients;
   private final Thread thread;
@@ -53,7 +53,7 @@
    * So many connections, the texts sent in turn, one on each; where they come back, each end is
    * another's start.
    */
-  IdleClients(InetSocketAddress address, int count, boolean comeBack, String... texts)
+  public IdleClients(InetSocketAddress address, int count, boolean comeBack, String... texts)
       throws IOException {
     clients = new Client[count];
     for (int i = 0; i < count; i++) {
--- a/src/test/java/pumicekeel/node/BadInputTest.java
+++ b/src/test/java/loadbalancer/proxy/MalformedRequestTest.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Clients that break the protocol get a 4xx or a clean end, and nobody else notices. */
-class BadInputTest {
+class MalformedRequestTest {
 
   static Stream<Arguments> requests() {
     String good = TestClient.look("1", 15_000, "");
@@ -37,8 +37,8 @@
   @ParameterizedTest
   @MethodSource("requests")
   void getsItsStatusAndTheNextClientIsServed(int status, String request) throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address);
           TestClient next = new TestClient(node.address)) {
         assertEquals(status, client.call(request).status());
@@ -50,8 +50,8 @@
 
   @Test
   void pipeliningGetsTheFirstAnswerAndAnEnd() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         client.send(TestClient.look("1", 15_000, "") + TestClient.look("2", 15_000, ""));
         assertEquals("fine", client.read().body());
@@ -64,17 +64,17 @@
   @Test
   void idThatIsOpenIsAConflictAndTheFirstKeepsItsAnswer() throws Exception {
     var held = new java.util.concurrent.CountDownLatch(1);
-    try (FakeServer upstream =
-        new FakeServer(
+    try (FakeUpstream upstream =
+        new FakeUpstream(
             (request, connection, out) -> {
               held.await();
-              FakeServer.write(out, FakeServer.ok("fine"));
+              FakeUpstream.write(out, FakeUpstream.ok("fine"));
             })) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient first = new TestClient(node.address);
           TestClient second = new TestClient(node.address)) {
         first.send(TestClient.look("1", 15_000, ""));
-        TestNode.until(() -> upstream.requests.size() == 1);
+        TestProxy.until(() -> upstream.requests.size() == 1);
         assertEquals(409, second.call(TestClient.look("1", 15_000, "")).status());
         held.countDown();
         assertEquals("fine", first.read().body());
--- a/src/test/java/pumicekeel/node/SpoiltAnswerTest.java
+++ b/src/test/java/loadbalancer/proxy/MalformedResponseTest.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,12 +11,12 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Upstreams that answer what can't be used, or more than was asked for. */
-class SpoiltAnswerTest {
+class MalformedResponseTest {
 
   private static final int FAILED = 502;
 
-  private static FakeServer.Behaviour says(String answer) {
-    return (request, connection, out) -> FakeServer.write(out, answer);
+  private static FakeUpstream.Behaviour says(String answer) {
+    return (request, connection, out) -> FakeUpstream.write(out, answer);
   }
 
   private static Arguments row(String name, String answer) {
@@ -63,21 +63,21 @@
   @MethodSource("spoilt")
   void spoiltAnswerIsAFailureAtOnceAndItsConnectionIsClosed(String name, String answer)
       throws Exception {
-    try (FakeServer upstream = new FakeServer(says(answer))) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+    try (FakeUpstream upstream = new FakeUpstream(says(answer))) {
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         long start = System.nanoTime();
         assertEquals(FAILED, client.call(TestClient.order("1", 20_000)).status());
         assertTrue(
             System.nanoTime() - start < 15_000_000_000L, "long before the request's time is up");
-        TestNode.until(() -> upstream.closedByPeer.get() == 1);
+        TestProxy.until(() -> upstream.closedByPeer.get() == 1);
       }
     }
   }
 
   static Stream<Arguments> surplus() {
     return Stream.of(
-        row("a second copy", FakeServer.ok("mine")),
+        row("a second copy", FakeUpstream.ok("mine")),
         row("half a line", "HTT"),
         row("noise", "\u0000\u0001\u0002"));
   }
@@ -85,19 +85,19 @@
   @ParameterizedTest(name = "{0}")
   @MethodSource("surplus")
   void whatComesBehindAnAnswerIsNeverTheNextOnes(String name, String behind) throws Exception {
-    try (FakeServer upstream =
-        new FakeServer(
+    try (FakeUpstream upstream =
+        new FakeUpstream(
             (request, connection, out) -> {
               String body = request.contains("X-Correlation-Id: 1\n") ? "mine" : "next";
-              FakeServer.write(out, FakeServer.ok(body) + (body.equals("mine") ? behind : ""));
+              FakeUpstream.write(out, FakeUpstream.ok(body) + (body.equals("mine") ? behind : ""));
             })) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient first = new TestClient(node.address);
           TestClient second = new TestClient(node.address)) {
         assertEquals("mine", first.call(TestClient.order("1", 15_000)).body());
         assertEquals("next", second.call(TestClient.order("2", 15_000)).body());
         assertEquals(2, upstream.connections.size(), "the first connection is of no further use");
-        TestNode.until(() -> upstream.closedByPeer.get() == 1);
+        TestProxy.until(() -> upstream.closedByPeer.get() == 1);
       }
     }
   }
@@ -105,18 +105,18 @@
   @Test
   void whatComesOnAnIdleConnectionClosesIt() throws Exception {
     CountDownLatch answered = new CountDownLatch(1);
-    try (FakeServer upstream =
-        new FakeServer(
+    try (FakeUpstream upstream =
+        new FakeUpstream(
             (request, connection, out) -> {
-              FakeServer.write(out, FakeServer.ok("fine"));
+              FakeUpstream.write(out, FakeUpstream.ok("fine"));
               answered.await();
-              FakeServer.write(out, "H");
+              FakeUpstream.write(out, "H");
             })) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals("fine", client.call(TestClient.order("1", 15_000)).body());
         answered.countDown();
-        TestNode.until(() -> upstream.closedByPeer.get() == 1);
+        TestProxy.until(() -> upstream.closedByPeer.get() == 1);
         assertEquals("fine", client.call(TestClient.order("2", 15_000)).body());
       }
     }
@@ -124,21 +124,21 @@
 
   @Test
   void interimAnswersAndAnUnreadableReportSpoilNothing() throws Exception {
-    try (FakeServer upstream =
-        new FakeServer(
+    try (FakeUpstream upstream =
+        new FakeUpstream(
             (request, connection, out) -> {
-              FakeServer.write(out, "HTTP/1.1 103 E\r\nLink: x\r\n\r\n");
+              FakeUpstream.write(out, "HTTP/1.1 103 E\r\nLink: x\r\n\r\n");
               // Longer than an answer may take from its first byte to its last: an interim one is
               // not its first byte.
               Thread.sleep(600);
-              FakeServer.write(
+              FakeUpstream.write(
                   out,
                   "HTTP/1.1 200 OK\r\n"
                       + "X-Backend-Load: inflight==;7,,\r\n"
                       + "Content-Length: 4\r\n\r\n"
                       + "fine");
             })) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals("fine", client.call(TestClient.order("1", 15_000)).body());
       }
--- a/src/test/java/pumicekeel/node/ClockLoop.java
+++ b/src/test/java/loadbalancer/proxy/ManualEventLoop.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy;
 
 import io.netty.channel.SingleThreadIoEventLoop;
 import io.netty.channel.nio.NioIoHandler;
@@ -10,14 +10,14 @@
 import java.util.concurrent.TimeUnit;
 
 /** An event loop with real sockets whose timers go by a clock that only the test moves on. */
-final class ClockLoop extends SingleThreadIoEventLoop {
+public final class ManualEventLoop extends SingleThreadIoEventLoop {
 
   private record Timer(long atMillis, Runnable task, ScheduledFuture<?> handle) {}
 
   private final List<Timer> timers = new ArrayList<>();
   private long now;
 
-  ClockLoop() {
+  public ManualEventLoop() {
     super(null, new DefaultThreadFactory("clock-loop", true), NioIoHandler.newFactory());
   }
 
@@ -36,14 +36,14 @@
   }
 
   /** Time to the next timer, seen between two pieces of the loop's work; -1 where there is none. */
-  long untilNext() {
+  public long untilNext() {
     return submit(() -> earliest() == null ? -1 : earliest().atMillis() - now)
         .syncUninterruptibly()
         .getNow();
   }
 
   /** Moves the clock on, with the timers that come due on the way. */
-  void pass(long millis) {
+  public void pass(long millis) {
     submit(
             () -> {
               long end = now + millis;
--- a/src/test/java/pumicekeel/node/ProcessTest.java
+++ b/src/test/java/loadbalancer/proxy/ProcessTest.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -18,6 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
+import loadbalancer.config.ProxyConfiguration;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -44,7 +45,7 @@
             "-XX:+UseSerialGC",
             "-cp",
             System.getProperty("java.class.path"),
-            "pumicekeel.adapter.Main",
+            "loadbalancer.CommandLine",
             "serve"));
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().keySet().removeIf(name -> name.startsWith("PROXY_"));
@@ -53,7 +54,7 @@
   }
 
   private static InetSocketAddress servedAt(String line) {
-    return Configuration.address("log", line.substring(line.indexOf('/') + 1));
+    return ProxyConfiguration.address("log", line.substring(line.indexOf('/') + 1));
   }
 
   private void start(String configuration, String... variable) throws Exception {
@@ -92,13 +93,13 @@
   @Test
   void sigtermAnswersWhatWasTakenAndEndsWithStatusZero() throws Exception {
     CountDownLatch held = new CountDownLatch(1);
-    try (FakeServer upstream =
-        new FakeServer(
+    try (FakeUpstream upstream =
+        new FakeUpstream(
             (request, connection, out) -> {
               held.await();
-              FakeServer.write(out, FakeServer.ok("fine"));
+              FakeUpstream.write(out, FakeUpstream.ok("fine"));
             })) {
-      start(TestNode.json(TestNode.nowhere(), 1, upstream));
+      start(TestProxy.json(TestProxy.nowhere(), 1, upstream));
       InetSocketAddress address = address();
       try (TestClient open = new TestClient(address);
           TestClient idle = new TestClient(address);
@@ -106,7 +107,7 @@
         slow.send(TestClient.order("2", 15_000).replace("Length: 4", "Length: 400"));
         idle.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
         open.send(TestClient.order("1", 15_000));
-        TestNode.until(() -> upstream.requests.size() == 1);
+        TestProxy.until(() -> upstream.requests.size() == 1);
         signal("TERM");
         awaitLog(" drains");
         assertEquals(
@@ -150,26 +151,26 @@
   /** Unhandled, SIGHUP ends a Java process. */
   @Test
   void sighupFollowsTheNewDiscoveryEachTimeAndABadFileChangesNothing() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine");
-        FakeServer first = new FakeServer((r, c, out) -> {});
-        FakeServer second = new FakeServer((r, c, out) -> {});
-        FakeServer third = new FakeServer((r, c, out) -> {})) {
+    try (FakeUpstream upstream = FakeUpstream.serving("fine");
+        FakeUpstream first = new FakeUpstream((r, c, out) -> {});
+        FakeUpstream second = new FakeUpstream((r, c, out) -> {});
+        FakeUpstream third = new FakeUpstream((r, c, out) -> {})) {
       start(
-          TestNode.json(first.address(), 1, upstream),
+          TestProxy.json(first.address(), 1, upstream),
           "PROXY_DISCOVERY",
-          TestNode.text(first.address()));
+          TestProxy.text(first.address()));
       InetSocketAddress address = address();
-      TestNode.until(() -> first.requests.size() == 1);
+      TestProxy.until(() -> first.requests.size() == 1);
       Path file = folder.resolve("config.json");
-      Files.writeString(file, TestNode.json(second.address(), 1, upstream));
+      Files.writeString(file, TestProxy.json(second.address(), 1, upstream));
       signal("HUP");
-      TestNode.until(() -> second.requests.size() == 1 && first.closedByPeer.get() == 1);
+      TestProxy.until(() -> second.requests.size() == 1 && first.closedByPeer.get() == 1);
       Files.writeString(file, "{");
       signal("HUP");
       awaitLog("the configuration stays as it was");
-      Files.writeString(file, TestNode.json(third.address(), 1, upstream));
+      Files.writeString(file, TestProxy.json(third.address(), 1, upstream));
       signal("HUP");
-      TestNode.until(() -> third.requests.size() == 1 && second.closedByPeer.get() == 1);
+      TestProxy.until(() -> third.requests.size() == 1 && second.closedByPeer.get() == 1);
       try (TestClient client = new TestClient(address)) {
         assertEquals("fine", client.call(TestClient.order("1", 15_000)).body());
       }
@@ -181,11 +182,11 @@
   /** Guards against reloads that never come and nobody misses until drains are broken. */
   @Test
   void startWithSighupIgnoredFollowsTheFileInstead() throws Exception {
-    try (FakeServer first = new FakeServer((r, c, out) -> {});
-        FakeServer second = new FakeServer((r, c, out) -> {});
-        FakeServer third = new FakeServer((r, c, out) -> {})) {
+    try (FakeUpstream first = new FakeUpstream((r, c, out) -> {});
+        FakeUpstream second = new FakeUpstream((r, c, out) -> {});
+        FakeUpstream third = new FakeUpstream((r, c, out) -> {})) {
       Path file =
-          Files.writeString(folder.resolve("config.json"), TestNode.json(first.address(), 1));
+          Files.writeString(folder.resolve("config.json"), TestProxy.json(first.address(), 1));
       ProcessBuilder builder = program("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
       process = builder.start();
       log =
@@ -193,14 +194,14 @@
               new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
       awaitLog("reload: started with SIGHUP ignored");
       address();
-      TestNode.until(() -> first.requests.size() == 1);
-      Files.writeString(file, TestNode.json(second.address(), 1));
+      TestProxy.until(() -> first.requests.size() == 1);
+      Files.writeString(file, TestProxy.json(second.address(), 1));
       signal("HUP");
-      TestNode.until(() -> second.requests.size() == 1 && first.closedByPeer.get() == 1);
+      TestProxy.until(() -> second.requests.size() == 1 && first.closedByPeer.get() == 1);
       Path other =
-          Files.writeString(folder.resolve("other.json"), TestNode.json(third.address(), 1));
+          Files.writeString(folder.resolve("other.json"), TestProxy.json(third.address(), 1));
       Files.move(other, file, StandardCopyOption.REPLACE_EXISTING);
-      TestNode.until(() -> third.requests.size() == 1 && second.closedByPeer.get() == 1);
+      TestProxy.until(() -> third.requests.size() == 1 && second.closedByPeer.get() == 1);
       process.destroy();
       assertEquals(0, status());
     }
@@ -222,30 +223,30 @@
   @MethodSource("crowds")
   void processWithFewDescriptorsKeepsWithinThemAndGoesOn(String[] crowd) throws Exception {
     CountDownLatch held = new CountDownLatch(1);
-    FakeServer.Behaviour watch =
+    FakeUpstream.Behaviour watch =
         (request, connection, out) ->
-            FakeServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    FakeServer[] upstreams = new FakeServer[17];
+            FakeUpstream.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    FakeUpstream[] upstreams = new FakeUpstream[17];
     for (int i = 0; i < upstreams.length; i++) {
       upstreams[i] =
-          new FakeServer(
+          new FakeUpstream(
               (request, connection, out) -> {
                 held.await();
-                FakeServer.write(out, FakeServer.ok("fine"));
+                FakeUpstream.write(out, FakeUpstream.ok("fine"));
               });
     }
-    try (FakeServer server = new FakeServer(watch)) {
+    try (FakeUpstream server = new FakeUpstream(watch)) {
       Files.writeString(
           folder.resolve("config.json"),
-          TestNode.json(server.address(), 1, upstreams)
+          TestProxy.json(server.address(), 1, upstreams)
               .replace("\"sockets\":1024", "\"sockets\":256"));
       ProcessBuilder builder = program("sh", "-c", "ulimit -n 256; exec \"$0\" \"$@\"");
       process = builder.redirectOutput(folder.resolve("log").toFile()).start();
-      TestNode.until(() -> logged().contains(" serves at /"));
+      TestProxy.until(() -> logged().contains(" serves at /"));
       String serving =
           logged().lines().filter(l -> l.contains(" serves at /")).findFirst().orElseThrow();
       InetSocketAddress address = servedAt(serving);
-      TestNode.until(() -> server.requests.size() == 1);
+      TestProxy.until(() -> server.requests.size() == 1);
       List<TestClient> asking = new ArrayList<>();
       for (int i = 0; i < 102; i++) {
         asking.add(
@@ -253,19 +254,19 @@
                 .send(TestClient.look("h" + i, 20_000, "").replace("Key: k", "Key: k" + i)));
       }
       try {
-        TestNode.until(() -> Stream.of(upstreams).mapToInt(u -> u.requests.size()).sum() == 102);
+        TestProxy.until(() -> Stream.of(upstreams).mapToInt(u -> u.requests.size()).sum() == 102);
         AtomicInteger most = new AtomicInteger();
         try (IdleClients idle = new IdleClients(address, 600, true, crowd)) {
           server.behaviour = (request, connection, out) -> connection.close();
           server.connections.get(0).close();
-          TestNode.until(
+          TestProxy.until(
               () -> {
                 most.accumulateAndGet(descriptors(), Math::max);
                 return server.requests.size() > 3 && idle.ended.get() > 100;
               });
           server.behaviour = watch;
           int watches = server.requests.size();
-          TestNode.until(
+          TestProxy.until(
               () -> {
                 most.accumulateAndGet(descriptors(), Math::max);
                 return server.requests.size() > watches;
@@ -277,7 +278,7 @@
           // Each is answered at once; refused as long as the held ones hold all room, or as their
           // time is the mean.
           int[] next = {0};
-          TestNode.until(
+          TestProxy.until(
               () -> {
                 try (TestClient client = new TestClient(address)) {
                   return client
@@ -303,7 +304,7 @@
         for (TestClient client : asking) {
           client.close();
         }
-        for (FakeServer upstream : upstreams) {
+        for (FakeUpstream upstream : upstreams) {
           upstream.close();
         }
       }
@@ -325,7 +326,7 @@
 
   @Test
   void badConfigurationIsOnePlainLineAndStatusTwo() throws Exception {
-    String good = TestNode.json(TestNode.nowhere(), 1);
+    String good = TestProxy.json(TestProxy.nowhere(), 1);
     for (String bad :
         new String[] {
           null,
--- a/src/test/java/pumicekeel/node/TestClient.java
+++ b/src/test/java/loadbalancer/proxy/TestClient.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy;
 
 import java.io.Closeable;
 import java.io.DataInputStream;
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** One client connection that writes any bytes and reads HTTP answers. */
-final class TestClient implements Closeable {
+public final class TestClient implements Closeable {
 
   private static final int GENEROUS_MILLIS = 30_000;
 
@@ -18,9 +18,9 @@
   private final DataInputStream in;
 
   /** An answer: its status, its head in lower case, and its body. */
-  record Reply(int status, String head, String body) {}
+  public record Reply(int status, String head, String body) {}
 
-  TestClient(InetSocketAddress address) throws IOException {
+  public TestClient(InetSocketAddress address) throws IOException {
     socket.connect(address, GENEROUS_MILLIS);
     socket.setSoTimeout(GENEROUS_MILLIS);
     in = new DataInputStream(socket.getInputStream());
@@ -44,7 +44,7 @@
         Integer.parseInt(lower.substring(9, 12)), lower, new String(body, StandardCharsets.UTF_8));
   }
 
-  Reply call(String text) throws IOException {
+  public Reply call(String text) throws IOException {
     return send(text).read();
   }
 
@@ -90,7 +90,7 @@
   }
 
   /** A request of class "look" (safe) with these further header lines, each ended by CRLF. */
-  static String look(String id, long leftMillis, String more) {
+  public static String look(String id, long leftMillis, String more) {
     return "GET /look/a?b=c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: "
         + id
         + "\r\nX-Service-Class: look\r\n"
--- a/src/test/java/pumicekeel/node/TestSide.java
+++ b/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy;
 
 import io.netty.channel.EventLoop;
 import java.net.InetAddress;
@@ -11,15 +11,21 @@
 import java.util.concurrent.Future;
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
-import pumicekeel.AdaptiveBalancer;
-import pumicekeel.Balancer.Event;
-import pumicekeel.Balancer.Listed;
-import pumicekeel.Balancer.State;
-import pumicekeel.adapter.Decoder;
-import pumicekeel.adapter.Fields;
+import loadbalancer.config.EndpointList;
+import loadbalancer.config.JsonObjectReader;
+import loadbalancer.config.PolicySettingsReader;
+import loadbalancer.policy.AdaptiveLoadBalancingPolicy;
+import loadbalancer.policy.event.EndpointDescriptor;
+import loadbalancer.policy.event.EndpointStatus;
+import loadbalancer.policy.event.Event;
+import loadbalancer.proxy.coordinator.RequestCoordinator;
+import loadbalancer.proxy.downstream.DownstreamServer;
+import loadbalancer.proxy.telemetry.EventLoopLag;
+import loadbalancer.proxy.transport.EpochClock;
+import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
 /** The listening side with the real module behind it, on a loop that the test may stop and ask. */
-final class TestSide {
+final class TestDownstreamServer {
 
   /** Its limit on connections. */
   static final int MOST = 100;
@@ -30,38 +36,42 @@
   final Queue<RuntimeException> defects = new ConcurrentLinkedQueue<>();
 
   private final EventLoop loop;
-  private final BalancerCore core;
-  private final ClientSide side;
+  private final RequestCoordinator core;
+  private final DownstreamServer side;
 
   /** Listens; {@code heard} is told of each event ahead of the module. */
-  TestSide(EventLoop loop, Consumer<Event> heard, FakeServer... upstreams) throws Exception {
+  TestDownstreamServer(EventLoop loop, Consumer<Event> heard, FakeUpstream... upstreams)
+      throws Exception {
     this(loop, heard, configuration -> configuration, upstreams);
   }
 
   /** As changed from the usual configuration. */
-  TestSide(
-      EventLoop loop, Consumer<Event> heard, UnaryOperator<String> change, FakeServer... upstreams)
+  TestDownstreamServer(
+      EventLoop loop,
+      Consumer<Event> heard,
+      UnaryOperator<String> change,
+      FakeUpstream... upstreams)
       throws Exception {
     this.loop = loop;
-    Fields f =
-        Fields.parse(
-            "configuration", change.apply(TestNode.json(TestNode.nowhere(), 3, upstreams)));
-    var settings = Decoder.settings(f.nested("settings"));
-    AdaptiveBalancer module = new AdaptiveBalancer(settings, 1);
+    JsonObjectReader f =
+        JsonObjectReader.parse(
+            "configuration", change.apply(TestProxy.json(TestProxy.nowhere(), 3, upstreams)));
+    var settings = PolicySettingsReader.read(f.nested("settings"));
+    AdaptiveLoadBalancingPolicy module = new AdaptiveLoadBalancingPolicy(settings, 1);
     core =
-        new BalancerCore(
+        new RequestCoordinator(
             settings,
             (now, event, out) -> {
               heard.accept(event);
               module.handle(now, event, out);
             },
-            new Clock(),
+            new EpochClock(),
             loop,
-            new LoopLag(loop),
-            new ConnectionPool(loop, 5_000_000_000L, 60_000_000_000L, 100),
+            new EventLoopLag(loop),
+            new UpstreamConnectionPools(loop, 5_000_000_000L, 60_000_000_000L, 100),
             defects::add);
-    side = new ClientSide(loop, settings, core, MOST, null);
-    HostList known = HostList.of(f.nested("known"));
+    side = new DownstreamServer(loop, settings, core, MOST, null);
+    EndpointList known = EndpointList.of(f.nested("known"));
     on(
         () -> {
           core.start(known, watch -> {});
@@ -74,12 +84,14 @@
   /**
    * The list names this upstream anew, as s- and this number; done once the loop has come to it.
    */
-  Future<?> list(int number, FakeServer upstream, State state) {
-    Listed listed = new Listed(HostList.idOf("s-" + number), "a", 1, state, 0, 1);
+  Future<?> list(int number, FakeUpstream upstream, EndpointStatus state) {
+    EndpointDescriptor listed =
+        new EndpointDescriptor(EndpointList.idOf("s-" + number), "a", 1, state, 0, 1);
     return loop.submit(
         () ->
             core.news(
-                new HostList(8, false, List.of(new HostList.Host(upstream.address(), listed)))));
+                new EndpointList(
+                    8, false, List.of(new EndpointList.Host(upstream.address(), listed)))));
   }
 
   int open() {
--- a/src/test/java/pumicekeel/node/TestNode.java
+++ b/src/test/java/loadbalancer/proxy/TestProxy.java
@@ -1,37 +1,41 @@
-package pumicekeel.node;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.net.InetSocketAddress;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.BooleanSupplier;
-import pumicekeel.adapter.Decoder;
-import pumicekeel.adapter.Fields;
+import loadbalancer.config.EndpointList;
+import loadbalancer.config.JsonObjectReader;
+import loadbalancer.config.PolicySettingsReader;
+import loadbalancer.config.ProxyConfiguration;
+import loadbalancer.proxy.lifecycle.ProxyServer;
 
 /** A node in this process, with settings fit for tests. */
-final class TestNode {
+public final class TestProxy {
 
   private static final long GENEROUS_NANOS = 30_000_000_000L;
 
-  final InetSocketAddress address;
-  final Node node;
+  public final InetSocketAddress address;
+  final ProxyServer node;
 
-  TestNode(InetSocketAddress discovery, int maxAttempts, FakeServer... upstreams) throws Exception {
+  public TestProxy(InetSocketAddress discovery, int maxAttempts, FakeUpstream... upstreams)
+      throws Exception {
     this(json(discovery, maxAttempts, upstreams));
   }
 
-  TestNode(String configuration) throws Exception {
-    Fields f = Fields.parse("configuration", configuration);
+  public TestProxy(String configuration) throws Exception {
+    JsonObjectReader f = JsonObjectReader.parse("configuration", configuration);
     node =
-        new Node(
-            new Configuration(
+        new ProxyServer(
+            new ProxyConfiguration(
                 "n0",
-                Configuration.address("listen", f.text("listen")),
-                Configuration.address("discovery", f.text("discovery")),
+                ProxyConfiguration.address("listen", f.text("listen")),
+                ProxyConfiguration.address("discovery", f.text("discovery")),
                 1,
                 (int) f.nested("limits").integer("sockets"),
-                HostList.of(f.nested("known")),
-                Decoder.settings(f.nested("settings"))),
+                EndpointList.of(f.nested("known")),
+                PolicySettingsReader.read(f.nested("settings"))),
             () -> {});
     address = node.start();
     until(() -> up() == 200);
@@ -46,7 +50,8 @@
   }
 
   /** The configuration of a balancer whose list names these upstreams s-0, s-1 and so on. */
-  static String json(InetSocketAddress discovery, int maxAttempts, FakeServer... upstreams) {
+  public static String json(
+      InetSocketAddress discovery, int maxAttempts, FakeUpstream... upstreams) {
     StringBuilder known = new StringBuilder();
     for (int i = 0; i < upstreams.length; i++) {
       known
@@ -70,7 +75,7 @@
         .formatted(text(discovery), known, maxAttempts);
   }
 
-  static String endpoint(String name, InetSocketAddress address, String status) {
+  public static String endpoint(String name, InetSocketAddress address, String status) {
     return "{\"name\":\""
         + name
         + "\",\"address\":\""
@@ -86,12 +91,12 @@
   }
 
   /** An address on which nothing listens. */
-  static InetSocketAddress nowhere() {
+  public static InetSocketAddress nowhere() {
     return new InetSocketAddress(java.net.InetAddress.getLoopbackAddress(), 1);
   }
 
   /** Waits for a condition, with a limit that only a hang reaches. */
-  static void until(BooleanSupplier condition) throws InterruptedException {
+  public static void until(BooleanSupplier condition) throws InterruptedException {
     long end = System.nanoTime() + GENEROUS_NANOS;
     while (!condition.getAsBoolean() && System.nanoTime() < end) {
       Thread.sleep(5);
--- a/src/test/java/pumicekeel/node/BalancerCoreTest.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.coordinator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -21,27 +21,41 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
+import loadbalancer.config.EndpointList;
+import loadbalancer.config.JsonObjectReader;
+import loadbalancer.config.PolicySettingsReader;
+import loadbalancer.policy.action.Action;
+import loadbalancer.policy.action.CancelAttempt;
+import loadbalancer.policy.action.FetchEndpoints;
+import loadbalancer.policy.action.ForwardAttempt;
+import loadbalancer.policy.action.RejectRequest;
+import loadbalancer.policy.action.SetTimer;
+import loadbalancer.policy.event.AttemptCompleted;
+import loadbalancer.policy.event.AttemptStatus;
+import loadbalancer.policy.event.ClientDisconnected;
+import loadbalancer.policy.event.EndpointDescriptor;
+import loadbalancer.policy.event.EndpointListUpdate;
+import loadbalancer.policy.event.EndpointStatus;
+import loadbalancer.policy.event.Event;
+import loadbalancer.policy.event.RequestArrived;
+import loadbalancer.policy.event.TimerFired;
+import loadbalancer.policy.settings.PolicySettings;
+import loadbalancer.proxy.FakeUpstream;
+import loadbalancer.proxy.TestProxy;
+import loadbalancer.proxy.http.ClientRequest;
+import loadbalancer.proxy.http.UpstreamResponse;
+import loadbalancer.proxy.telemetry.EventLoopLag;
+import loadbalancer.proxy.transport.EpochClock;
+import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pumicekeel.Balancer;
-import pumicekeel.Balancer.Action;
-import pumicekeel.Balancer.Event;
-import pumicekeel.Balancer.FetchList;
-import pumicekeel.Balancer.ListNews;
-import pumicekeel.Balancer.Outcome;
-import pumicekeel.Balancer.Request;
-import pumicekeel.Balancer.Send;
-import pumicekeel.Balancer.State;
-import pumicekeel.Balancer.Status;
-import pumicekeel.adapter.Decoder;
-import pumicekeel.adapter.Fields;
 
 /** The request table under modules that do what the real one never should. */
-class BalancerCoreTest {
+class RequestCoordinatorTest {
 
-  private static final long UPSTREAM = HostList.idOf("s-0");
+  private static final long UPSTREAM = EndpointList.idOf("s-0");
 
   private final EventLoop loop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -52,23 +66,23 @@
   private volatile boolean handling;
   private volatile boolean here = true;
   private long drainGrace = 2_000_000_000L;
-  private BalancerCore core;
-  private Balancer.Settings settings;
+  private RequestCoordinator core;
+  private PolicySettings settings;
 
   /** What a test's module does on a request or an outcome. */
   interface Module {
     void handle(Event event, Consumer<Action> out);
   }
 
-  private final Client client =
-      new Client() {
+  private final DownstreamClient client =
+      new DownstreamClient() {
         @Override
         public boolean here() {
           return here;
         }
 
         @Override
-        public void served(Answer answer) {
+        public void served(UpstreamResponse answer) {
           answers.add("served");
         }
 
@@ -83,16 +97,17 @@
         }
       };
 
-  private void start(Module module, FakeServer... upstreams) throws Exception {
-    Fields f =
-        Fields.parse(
+  private void start(Module module, FakeUpstream... upstreams) throws Exception {
+    JsonObjectReader f =
+        JsonObjectReader.parse(
             "configuration",
-            TestNode.json(TestNode.nowhere(), 3, upstreams)
+            TestProxy.json(TestProxy.nowhere(), 3, upstreams)
                 .replace("\"drain-grace-ns\":2000000000", "\"drain-grace-ns\":" + drainGrace));
-    settings = Decoder.settings(f.nested("settings"));
-    ConnectionPool pool = new ConnectionPool(loop, 5_000_000_000L, 60_000_000_000L, 100);
+    settings = PolicySettingsReader.read(f.nested("settings"));
+    UpstreamConnectionPools pool =
+        new UpstreamConnectionPools(loop, 5_000_000_000L, 60_000_000_000L, 100);
     core =
-        new BalancerCore(
+        new RequestCoordinator(
             settings,
             (now, event, out) -> {
               nested |= handling;
@@ -101,15 +116,15 @@
               module.handle(event, out);
               handling = false;
             },
-            new Clock(),
+            new EpochClock(),
             loop,
-            new LoopLag(loop),
+            new EventLoopLag(loop),
             pool,
             defect -> {
               core.answerAll();
               defects.add(defect);
             });
-    HostList known = HostList.of(f.nested("known"));
+    EndpointList known = EndpointList.of(f.nested("known"));
     loop.submit(() -> core.start(known, on -> {})).get();
   }
 
@@ -125,7 +140,10 @@
   private void take(String id, String type, long leftMillis, int bodyBytes, Runnable then)
       throws Exception {
     var type1 =
-        settings.classes().stream().filter(c -> c.name().equals(type)).findFirst().orElseThrow();
+        settings.requestClasses().stream()
+            .filter(c -> c.name().equals(type))
+            .findFirst()
+            .orElseThrow();
     ClientRequest request =
         new ClientRequest(
             id,
@@ -155,11 +173,11 @@
     return answers.poll(30, TimeUnit.SECONDS);
   }
 
-  private Outcome outcome() throws InterruptedException {
+  private AttemptCompleted outcome() throws InterruptedException {
     for (Event e = events.poll(30, TimeUnit.SECONDS);
         e != null;
         e = events.poll(30, TimeUnit.SECONDS)) {
-      if (e instanceof Outcome o) {
+      if (e instanceof AttemptCompleted o) {
         return o;
       }
     }
@@ -167,8 +185,8 @@
   }
 
   private static void sendOnRequest(Event event, Consumer<Action> out) {
-    if (event instanceof Request r) {
-      out.accept(new Send(r.id(), UPSTREAM, 15_000_000_000L));
+    if (event instanceof RequestArrived r) {
+      out.accept(new ForwardAttempt(r.requestId(), UPSTREAM, 15_000_000_000L));
     }
   }
 
@@ -188,16 +206,16 @@
   /** Guards clients in a hurry: they wait for less than the margin that others have to spare. */
   @Test
   void marginBeforeTheClientsTimeIsUpLeavesMostOfAShortWait() {
-    assertEquals(60_000_000L, BalancerCore.answerMargin(1_000_000_000L));
+    assertEquals(60_000_000L, RequestCoordinator.answerMargin(1_000_000_000L));
     for (long left = 10_000_000L; left <= 120_000_000L; left += 10_000_000L) {
-      assertTrue(BalancerCore.answerMargin(left) <= left / 4, "of " + left + " ns");
+      assertTrue(RequestCoordinator.answerMargin(left) <= left / 4, "of " + left + " ns");
     }
   }
 
   @Test
   void answerForTheModulePromisesNothingOnceTheRequestMayHaveRun() throws Exception {
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> {})) {
-      start(BalancerCoreTest::sendOnRequest, upstream);
+    try (FakeUpstream upstream = new FakeUpstream((request, connection, out) -> {})) {
+      start(RequestCoordinatorTest::sendOnRequest, upstream);
       take("1", "order", 1_000);
       assertEquals("failed", answer());
     }
@@ -205,28 +223,28 @@
 
   @Test
   void lateOutcomeStillGoesToTheModuleAndTheClientHearsNothingMore() throws Exception {
-    try (FakeServer upstream =
-        new FakeServer(
+    try (FakeUpstream upstream =
+        new FakeUpstream(
             (request, connection, out) -> {
-              TestNode.until(() -> !answers.isEmpty());
-              FakeServer.write(out, FakeServer.ok("late"));
+              TestProxy.until(() -> !answers.isEmpty());
+              FakeUpstream.write(out, FakeUpstream.ok("late"));
             })) {
       start(
           (event, out) -> {
             sendOnRequest(event, out);
-            if (event instanceof Request r) {
+            if (event instanceof RequestArrived r) {
               out.accept(
-                  new Balancer.SetTimer(
-                      r.id(), System.currentTimeMillis() * 1_000_000 + 200_000_000));
-            } else if (event instanceof Balancer.TimerFired t) {
-              out.accept(new Balancer.Refuse(t.token(), 0));
+                  new SetTimer(
+                      r.requestId(), System.currentTimeMillis() * 1_000_000 + 200_000_000));
+            } else if (event instanceof TimerFired t) {
+              out.accept(new RejectRequest(t.timerId(), 0));
             }
           },
           upstream);
       take("1", "look", 15_000);
-      Outcome late = outcome();
-      assertEquals(Status.SERVED, late.status());
-      assertTrue(late.finished());
+      AttemptCompleted late = outcome();
+      assertEquals(AttemptStatus.SERVED, late.status());
+      assertTrue(late.requestFinished());
       assertEquals("refused", answer());
       assertTrue(answers.isEmpty());
       take("1", "look", 15_000);
@@ -236,8 +254,8 @@
   @Test
   void pauseOfTheLoopIsNotTheUpstreamsLatency() throws Exception {
     long pause = 2_000_000_000L;
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      start(BalancerCoreTest::sendOnRequest, upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      start(RequestCoordinatorTest::sendOnRequest, upstream);
       take("1", "look", 15_000);
       outcome();
       take(
@@ -266,38 +284,38 @@
   @Test
   void resetOfAKeptConnectionTellsOfTheConnectionAndOfANewOneOfTheUpstream() throws Exception {
     AtomicBoolean broken = new AtomicBoolean();
-    try (FakeServer upstream =
-        new FakeServer(
+    try (FakeUpstream upstream =
+        new FakeUpstream(
             (request, connection, out) -> {
               if (broken.get()) {
                 connection.setSoLinger(true, 0);
                 connection.close();
               } else {
-                FakeServer.write(out, FakeServer.ok("fine"));
+                FakeUpstream.write(out, FakeUpstream.ok("fine"));
               }
             })) {
-      start(BalancerCoreTest::sendOnRequest, upstream);
+      start(RequestCoordinatorTest::sendOnRequest, upstream);
       take("1", "look", 15_000);
-      assertFalse(outcome().stale());
+      assertFalse(outcome().foundStaleConnection());
       broken.set(true);
       take("2", "look", 15_000);
-      assertTrue(outcome().stale(), "kept");
+      assertTrue(outcome().foundStaleConnection(), "kept");
       take("3", "look", 15_000);
-      Outcome onNew = outcome();
-      assertEquals(Status.RESET, onNew.status());
-      assertFalse(onNew.stale(), "new");
+      AttemptCompleted onNew = outcome();
+      assertEquals(AttemptStatus.RESET, onNew.status());
+      assertFalse(onNew.foundStaleConnection(), "new");
     }
   }
 
   @Test
   void clientThatHasLeftUnseenEndsItsRequestWhereItWouldBeSent() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      start(BalancerCoreTest::sendOnRequest, upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      start(RequestCoordinatorTest::sendOnRequest, upstream);
       here = false;
       take("1", "look", 15_000);
-      Outcome outcome = outcome();
-      assertEquals(Status.NOT_SENT, outcome.status());
-      assertTrue(outcome.finished());
+      AttemptCompleted outcome = outcome();
+      assertEquals(AttemptStatus.NOT_SENT, outcome.status());
+      assertTrue(outcome.requestFinished());
       here = true;
       take("1", "look", 15_000);
       assertEquals("served", answer());
@@ -309,17 +327,17 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void clientThatLeavesBeforeTheConnectionIsUpIsNotSentOn(boolean cancels) throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
       start(
           (event, out) -> {
             sendOnRequest(event, out);
-            if (event instanceof Balancer.ClientGone gone && cancels) {
-              out.accept(new Balancer.Cancel(gone.id(), 0));
+            if (event instanceof ClientDisconnected gone && cancels) {
+              out.accept(new CancelAttempt(gone.requestId(), 0));
             }
           },
           upstream);
       take("1", "order", 15_000, () -> core.clientGone("1"));
-      assertEquals(cancels ? Status.CANCELLED : Status.NOT_SENT, outcome().status());
+      assertEquals(cancels ? AttemptStatus.CANCELLED : AttemptStatus.NOT_SENT, outcome().status());
       take("2", "look", 15_000);
       assertEquals("served", answer());
       assertEquals(1, upstream.requests.size());
@@ -337,22 +355,23 @@
       start(
           (event, out) -> {
             sendOnRequest(event, out);
-            if (event instanceof Balancer.ClientGone gone) {
-              out.accept(new Balancer.Cancel(gone.id(), 0));
+            if (event instanceof ClientDisconnected gone) {
+              out.accept(new CancelAttempt(gone.requestId(), 0));
             }
           });
-      Balancer.Listed listed = new Balancer.Listed(UPSTREAM, "a", 1, State.READY, 0, 1);
+      EndpointDescriptor listed =
+          new EndpointDescriptor(UPSTREAM, "a", 1, EndpointStatus.READY, 0, 1);
       loop.submit(
               () ->
                   core.news(
-                      new HostList(
+                      new EndpointList(
                           8,
                           false,
                           List.of(
-                              new HostList.Host(
+                              new EndpointList.Host(
                                   (InetSocketAddress) upstream.getLocalSocketAddress(), listed)))))
           .get();
-      take("1", "order", 15_000, Answer.MAX_BODY, () -> {});
+      take("1", "order", 15_000, UpstreamResponse.MAX_BODY, () -> {});
       try (Socket connection = upstream.accept()) {
         InputStream in = connection.getInputStream();
         int read = in.readNBytes(1).length;
@@ -362,7 +381,7 @@
         } catch (IOException e) {
           // A reset: the rest is lost, as it has to be.
         }
-        assertTrue(read < Answer.MAX_BODY, "bytes that arrived: " + read);
+        assertTrue(read < UpstreamResponse.MAX_BODY, "bytes that arrived: " + read);
       }
     }
   }
@@ -371,7 +390,7 @@
   void exceptionOfTheModuleAnswersAllThatIsOpen() throws Exception {
     start(
         (event, out) -> {
-          if (event instanceof Request r && r.id().equals("2")) {
+          if (event instanceof RequestArrived r && r.requestId().equals("2")) {
             throw new IllegalStateException("defect");
           }
         });
@@ -386,8 +405,8 @@
   void actionThatTheModuleNeverEmitsIsNamed() throws Exception {
     start(
         (event, out) -> {
-          if (event instanceof Request) {
-            out.accept(new FetchList());
+          if (event instanceof RequestArrived) {
+            out.accept(new FetchEndpoints());
           }
         });
     take("1", "look", 15_000);
@@ -398,28 +417,30 @@
   @ParameterizedTest
   @ValueSource(longs = {0, 100_000_000, 2_000_000_000})
   void leavingUpstreamGetsNothingNewAndTheOutcomeIsNotNested(long grace) throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
       drainGrace = grace;
-      start(BalancerCoreTest::sendOnRequest, upstream);
+      start(RequestCoordinatorTest::sendOnRequest, upstream);
       take("1", "look", 15_000);
       assertEquals(
-          Status.SERVED, outcome().status(), "an idle connection makes the next send end at once");
+          AttemptStatus.SERVED,
+          outcome().status(),
+          "an idle connection makes the next send end at once");
       loop.submit(() -> core.news(leaving(upstream))).get();
       take("2", "look", 15_000);
-      assertEquals(Status.NOT_SENT, outcome().status());
+      assertEquals(AttemptStatus.NOT_SENT, outcome().status());
       assertEquals(1, upstream.requests.size());
       assertFalse(nested);
-      assertTrue(events.stream().noneMatch(e -> e instanceof ListNews));
+      assertTrue(events.stream().noneMatch(e -> e instanceof EndpointListUpdate));
     }
   }
 
   /** The connect may take longer than the grace. */
   @Test
   void upstreamThatLeavesWhileTheConnectionComesUpGetsNothing() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      start(BalancerCoreTest::sendOnRequest, upstream);
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      start(RequestCoordinatorTest::sendOnRequest, upstream);
       take("1", "look", 15_000, () -> core.news(leaving(upstream)));
-      assertEquals(Status.NOT_SENT, outcome().status());
+      assertEquals(AttemptStatus.NOT_SENT, outcome().status());
       assertEquals(0, upstream.requests.size());
     }
   }
@@ -429,65 +450,68 @@
   @ValueSource(booleans = {false, true})
   void upstreamThatTheListDropsStillAnswersWhatItHas(boolean whole) throws Exception {
     CountDownLatch dropped = new CountDownLatch(1);
-    try (FakeServer upstream =
-        new FakeServer(
+    try (FakeUpstream upstream =
+        new FakeUpstream(
             (request, connection, out) -> {
               dropped.await();
-              FakeServer.write(out, FakeServer.ok("fine"));
+              FakeUpstream.write(out, FakeUpstream.ok("fine"));
             })) {
-      start(BalancerCoreTest::sendOnRequest, upstream);
+      start(RequestCoordinatorTest::sendOnRequest, upstream);
       take("1", "order", 15_000);
-      TestNode.until(() -> upstream.requests.size() == 1);
-      Balancer.Listed gone = new Balancer.Listed(UPSTREAM, "a", 1, State.GONE, 0, 1);
+      TestProxy.until(() -> upstream.requests.size() == 1);
+      EndpointDescriptor gone =
+          new EndpointDescriptor(UPSTREAM, "a", 1, EndpointStatus.REMOVED, 0, 1);
       loop.submit(
               () ->
                   core.news(
-                      new HostList(
+                      new EndpointList(
                           8,
                           whole,
                           whole
                               ? List.of()
-                              : List.of(new HostList.Host(upstream.address(), gone)))))
+                              : List.of(new EndpointList.Host(upstream.address(), gone)))))
           .get();
       dropped.countDown();
       assertEquals("served", answer());
-      TestNode.until(() -> upstream.closedByPeer.get() == 1);
+      TestProxy.until(() -> upstream.closedByPeer.get() == 1);
     }
   }
 
-  private static HostList leaving(FakeServer upstream) {
-    return new HostList(
+  private static EndpointList leaving(FakeUpstream upstream) {
+    return new EndpointList(
         8,
         false,
         List.of(
-            new HostList.Host(
-                upstream.address(), new Balancer.Listed(UPSTREAM, "a", 1, State.DRAINING, 0, 1))));
+            new EndpointList.Host(
+                upstream.address(),
+                new EndpointDescriptor(UPSTREAM, "a", 1, EndpointStatus.DRAINING, 0, 1))));
   }
 
   @Test
   void repeatAfterTheKeyedWindowIsNotSent() throws Exception {
-    Consumer<Consumer<Action>> again = out -> out.accept(new Send("1", UPSTREAM, 15_000_000_000L));
-    try (FakeServer upstream =
-        new FakeServer(
+    Consumer<Consumer<Action>> again =
+        out -> out.accept(new ForwardAttempt("1", UPSTREAM, 15_000_000_000L));
+    try (FakeUpstream upstream =
+        new FakeUpstream(
             (request, connection, out) ->
-                FakeServer.write(out, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"))) {
+                FakeUpstream.write(out, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"))) {
       start(
           (event, out) -> {
-            if (event instanceof Request || event instanceof Balancer.TimerFired) {
+            if (event instanceof RequestArrived || event instanceof TimerFired) {
               again.accept(out);
-            } else if (event instanceof Outcome o && o.status() == Status.ERROR) {
+            } else if (event instanceof AttemptCompleted o && o.status() == AttemptStatus.ERROR) {
               out.accept(
-                  new Balancer.SetTimer(
+                  new SetTimer(
                       "again",
                       System.currentTimeMillis() * 1_000_000
-                          + settings.classes().get(1).dedupWindowNanos()
+                          + settings.requestClasses().get(1).deduplicationWindowNanos()
                           + 50_000_000));
             }
           },
           upstream);
       take("1", "order", 15_000);
-      assertEquals(Status.ERROR, outcome().status());
-      assertEquals(Status.NOT_SENT, outcome().status());
+      assertEquals(AttemptStatus.ERROR, outcome().status());
+      assertEquals(AttemptStatus.NOT_SENT, outcome().status());
       assertEquals(1, upstream.requests.size());
     }
   }
--- a/src/test/java/pumicekeel/node/DiscoveryTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -23,26 +23,31 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
+import loadbalancer.config.EndpointList;
+import loadbalancer.config.JsonObjectReader;
+import loadbalancer.config.PolicySettingsReader;
+import loadbalancer.policy.AdaptiveLoadBalancingPolicy;
+import loadbalancer.policy.LoadBalancingPolicy;
+import loadbalancer.policy.action.Action;
+import loadbalancer.policy.action.SetTimer;
+import loadbalancer.policy.action.WatchEndpoints;
+import loadbalancer.policy.event.EndpointListUpdate;
+import loadbalancer.policy.event.TimerFired;
+import loadbalancer.policy.settings.PolicySettings;
+import loadbalancer.proxy.FakeUpstream;
+import loadbalancer.proxy.IdleClients;
+import loadbalancer.proxy.ManualEventLoop;
+import loadbalancer.proxy.TestClient;
+import loadbalancer.proxy.TestProxy;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import pumicekeel.AdaptiveBalancer;
-import pumicekeel.Balancer;
-import pumicekeel.Balancer.Action;
-import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.ListNews;
-import pumicekeel.Balancer.SetTimer;
-import pumicekeel.Balancer.Settings;
-import pumicekeel.Balancer.TimerFired;
-import pumicekeel.Balancer.Watch;
-import pumicekeel.adapter.Decoder;
-import pumicekeel.adapter.Fields;
 
 /** The watch, against a discovery that splits, falls silent, fails and changes its mind. */
-class DiscoveryTest {
+class DiscoveryClientTest {
 
   private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -55,10 +60,10 @@
 
   private static final long SILENCE = 3_250;
 
-  private final ClockLoop clock = new ClockLoop();
+  private final ManualEventLoop clock = new ManualEventLoop();
 
   private static void chunk(OutputStream out, String text) throws Exception {
-    FakeServer.write(out, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+    FakeUpstream.write(out, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
   }
 
   private static String list(long index, boolean whole, String... endpoints) {
@@ -72,21 +77,23 @@
   }
 
   /** A watch that may be silent for so long and whose call has no other bound. */
-  private Discovery discovery(InetSocketAddress address, long silenceMillis) {
+  private DiscoveryClient discovery(InetSocketAddress address, long silenceMillis) {
     return discovery(address, silenceMillis, silenceMillis);
   }
 
-  private Discovery discovery(InetSocketAddress address, long callMillis, long silenceMillis) {
-    Discovery discovery =
-        new Discovery(
+  private DiscoveryClient discovery(
+      InetSocketAddress address, long callMillis, long silenceMillis) {
+    DiscoveryClient discovery =
+        new DiscoveryClient(
             loop, address, 7, callMillis, silenceMillis, heard::add, () -> heard.add("failed"));
     loop.execute(() -> discovery.watch(true));
     return discovery;
   }
 
-  private Discovery clocked(InetSocketAddress address) {
-    Discovery discovery =
-        new Discovery(clock, address, 7, CALL, SILENCE, heard::add, () -> heard.add("failed"));
+  private DiscoveryClient clocked(InetSocketAddress address) {
+    DiscoveryClient discovery =
+        new DiscoveryClient(
+            clock, address, 7, CALL, SILENCE, heard::add, () -> heard.add("failed"));
     clock.execute(() -> discovery.watch(true));
     return discovery;
   }
@@ -103,18 +110,18 @@
 
   @Test
   void linesMayBeSplitAnywhereAndTheNextWatchAsksForWhatCameAfter() throws Exception {
-    try (FakeServer server =
-        new FakeServer(
+    try (FakeUpstream server =
+        new FakeUpstream(
             (request, connection, out) -> {
-              FakeServer.write(out, HEAD);
+              FakeUpstream.write(out, HEAD);
               for (char c : ("\n" + list(8, true) + "\n\n" + list(9, false)).toCharArray()) {
                 chunk(out, String.valueOf(c));
               }
-              FakeServer.write(out, "0\r\n\r\n");
+              FakeUpstream.write(out, "0\r\n\r\n");
             })) {
-      Discovery discovery = discovery(server.address(), 60_000);
-      assertEquals(8, ((HostList) next()).index());
-      assertEquals(9, ((HostList) next()).index());
+      DiscoveryClient discovery = discovery(server.address(), 60_000);
+      assertEquals(8, ((EndpointList) next()).version());
+      assertEquals(9, ((EndpointList) next()).version());
       assertEquals("failed", next(), "a watch that ended");
       loop.execute(() -> discovery.watch(true));
       next();
@@ -147,19 +154,19 @@
         """
             .replace("\n", end);
     String second = list(9, false).replace("{", "{" + end).replace(",", "," + end + "\t");
-    try (FakeServer server =
-        new FakeServer(
+    try (FakeUpstream server =
+        new FakeUpstream(
             (request, connection, out) -> {
-              FakeServer.write(out, HEAD);
+              FakeUpstream.write(out, HEAD);
               chunk(out, end + first + second + end + first.replace("8", "10").substring(0, 40));
               chunk(out, first.replace("8", "10").substring(40) + end);
             })) {
       discovery(server.address(), 60_000);
-      HostList list = (HostList) next();
-      assertEquals(8, list.index());
-      assertEquals(HostList.idOf("s-{\"]"), list.hosts().get(0).listed().upstream());
-      assertEquals(9, ((HostList) next()).index());
-      assertEquals(10, ((HostList) next()).index());
+      EndpointList list = (EndpointList) next();
+      assertEquals(8, list.version());
+      assertEquals(EndpointList.idOf("s-{\"]"), list.endpoints().get(0).descriptor().endpointId());
+      assertEquals(9, ((EndpointList) next()).version());
+      assertEquals(10, ((EndpointList) next()).version());
       assertTrue(heard.isEmpty());
     }
   }
@@ -169,10 +176,10 @@
    */
   @Test
   void listThatStopsHalfwayIsSilenceThoughHeartbeatsGoOn() throws Exception {
-    try (FakeServer server =
-        new FakeServer(
+    try (FakeUpstream server =
+        new FakeUpstream(
             (request, connection, out) -> {
-              FakeServer.write(out, HEAD);
+              FakeUpstream.write(out, HEAD);
               chunk(out, list(8, true));
               chunk(out, "{\"index\": 9,\n");
               while (true) {
@@ -181,20 +188,20 @@
               }
             })) {
       discovery(server.address(), 1_000);
-      assertEquals(8, ((HostList) next()).index());
+      assertEquals(8, ((EndpointList) next()).version());
       assertEquals("failed", next());
-      TestNode.until(() -> server.closedByPeer.get() == 1);
+      TestProxy.until(() -> server.closedByPeer.get() == 1);
       assertTrue(heard.isEmpty());
     }
   }
 
   @Test
   void silentWatchFailsOnceAndIsClosed() throws Exception {
-    try (FakeServer server =
-        new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD))) {
+    try (FakeUpstream server =
+        new FakeUpstream((request, connection, out) -> FakeUpstream.write(out, HEAD))) {
       discovery(server.address(), 200);
       assertEquals("failed", next());
-      TestNode.until(() -> server.closedByPeer.get() == 1);
+      TestProxy.until(() -> server.closedByPeer.get() == 1);
       assertTrue(heard.isEmpty());
     }
   }
@@ -203,11 +210,11 @@
   @ParameterizedTest
   @ValueSource(strings = {"", "HTTP/1.1 200", HEAD, HEAD + "1", HEAD + "12\r\n{\"index\": 8,"})
   void callThatTellsNothingEndsBeforeAWatchWouldBeSilent(String text) throws Exception {
-    try (FakeServer server =
-        new FakeServer((request, connection, out) -> FakeServer.write(out, text))) {
+    try (FakeUpstream server =
+        new FakeUpstream((request, connection, out) -> FakeUpstream.write(out, text))) {
       discovery(server.address(), 200, 60_000);
       assertEquals("failed", next());
-      TestNode.until(() -> server.closedByPeer.get() == 1);
+      TestProxy.until(() -> server.closedByPeer.get() == 1);
       assertTrue(heard.isEmpty());
     }
   }
@@ -240,16 +247,16 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void watchThatHasToldSomethingIsCutOnlyOnceItIsSilent(boolean heartbeat) throws Exception {
-    try (FakeServer server =
-        new FakeServer(
+    try (FakeUpstream server =
+        new FakeUpstream(
             (request, connection, out) -> {
-              FakeServer.write(out, HEAD);
+              FakeUpstream.write(out, HEAD);
               chunk(out, heartbeat ? "\n" : list(8, true));
             })) {
       clocked(server.address());
-      TestNode.until(() -> clock.untilNext() == SILENCE);
+      TestProxy.until(() -> clock.untilNext() == SILENCE);
       if (!heartbeat) {
-        assertEquals(8, ((HostList) next()).index());
+        assertEquals(8, ((EndpointList) next()).version());
       }
       clock.pass(SILENCE - 1);
       assertTrue(heard.isEmpty());
@@ -261,25 +268,25 @@
   @Test
   void longFirstListIsNotCutAsLongAsMoreOfItComes() throws Exception {
     Semaphore more = new Semaphore(0);
-    try (FakeServer server =
-        new FakeServer(
+    try (FakeUpstream server =
+        new FakeUpstream(
             (request, connection, out) -> {
-              FakeServer.write(out, HEAD);
+              FakeUpstream.write(out, HEAD);
               for (String part : list(8, true).split("(?<=,)")) {
                 more.acquire();
                 chunk(out, part);
               }
             })) {
       clocked(server.address());
-      TestNode.until(() -> server.requests.size() == 1);
+      TestProxy.until(() -> server.requests.size() == 1);
       for (int part = 0; part < 2; part++) {
         clock.pass(CALL - 1);
         more.release();
-        TestNode.until(() -> clock.untilNext() == CALL);
+        TestProxy.until(() -> clock.untilNext() == CALL);
       }
       clock.pass(CALL - 1);
       more.release();
-      assertEquals(8, ((HostList) next()).index());
+      assertEquals(8, ((EndpointList) next()).version());
     }
   }
 
@@ -290,10 +297,10 @@
   @Test
   void firstListThatNeverEndsIsCutThoughMoreOfItComes() throws Exception {
     Semaphore more = new Semaphore(0);
-    try (FakeServer server =
-        new FakeServer(
+    try (FakeUpstream server =
+        new FakeUpstream(
             (request, connection, out) -> {
-              FakeServer.write(out, HEAD);
+              FakeUpstream.write(out, HEAD);
               chunk(out, "{\"snapshot\": \"");
               while (true) {
                 more.acquire();
@@ -301,17 +308,17 @@
               }
             })) {
       clocked(server.address());
-      TestNode.until(() -> server.requests.size() == 1);
+      TestProxy.until(() -> server.requests.size() == 1);
       long step = CALL / 2;
       for (long past = step; past <= SILENCE - CALL; past += step) {
         clock.pass(step);
         more.release();
-        TestNode.until(() -> clock.untilNext() == CALL);
+        TestProxy.until(() -> clock.untilNext() == CALL);
       }
       clock.pass(CALL - 1);
       more.release();
       long left = SILENCE % step + 1;
-      TestNode.until(() -> clock.untilNext() == left);
+      TestProxy.until(() -> clock.untilNext() == left);
       clock.pass(left - 1);
       assertTrue(heard.isEmpty());
       clock.pass(1);
@@ -326,14 +333,14 @@
   @ValueSource(booleans = {false, true})
   void firstListThatStopsHalfwayEndsItsCallThoughHeartbeatsGoOn(boolean withHead) throws Exception {
     String part = "{\"index\": 8,\n";
-    try (FakeServer server =
-        new FakeServer(
+    try (FakeUpstream server =
+        new FakeUpstream(
             (request, connection, out) -> {
               if (withHead) {
-                FakeServer.write(
+                FakeUpstream.write(
                     out, HEAD + Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
               } else {
-                FakeServer.write(out, HEAD);
+                FakeUpstream.write(out, HEAD);
                 Thread.sleep(20);
                 chunk(out, part);
               }
@@ -344,7 +351,7 @@
             })) {
       discovery(server.address(), 500, 60_000);
       assertEquals("failed", next());
-      TestNode.until(() -> server.closedByPeer.get() == 1);
+      TestProxy.until(() -> server.closedByPeer.get() == 1);
     }
   }
 
@@ -356,35 +363,40 @@
     long toldAfterHangup = 4_000;
     long margin = 500;
     long backOff = longestBackOffMillis();
-    assertTrue(Discovery.SILENCE_MILLIS > 2 * heartbeat, "a heartbeat that is late is no silence");
     assertTrue(
-        Discovery.CALL_MILLIS > heartbeat, "a first heartbeat that takes its time is no failure");
+        DiscoveryClient.SILENCE_MILLIS > 2 * heartbeat, "a heartbeat that is late is no silence");
     assertTrue(
-        Discovery.SILENCE_MILLIS + backOff <= toldAfterSilence - margin,
+        DiscoveryClient.CALL_MILLIS > heartbeat,
+        "a first heartbeat that takes its time is no failure");
+    assertTrue(
+        DiscoveryClient.SILENCE_MILLIS + backOff <= toldAfterSilence - margin,
         "silence, back-off " + backOff);
     assertTrue(
-        Discovery.CALL_MILLIS + backOff <= toldAfterHangup - margin,
+        DiscoveryClient.CALL_MILLIS + backOff <= toldAfterHangup - margin,
         "call in vain, back-off " + backOff);
     assertTrue(backOff > 500, "the back-off still grows: " + backOff);
   }
 
   /** What the module waits at most before it asks again, over a run of failures and many seeds. */
   private static long longestBackOffMillis() throws Exception {
-    Settings settings =
-        Decoder.settings(
-            Fields.parse("configuration", TestNode.json(TestNode.nowhere(), 1)).nested("settings"));
-    assertTrue(settings.listOnRequest());
+    PolicySettings settings =
+        PolicySettingsReader.read(
+            JsonObjectReader.parse("configuration", TestProxy.json(TestProxy.nowhere(), 1))
+                .nested("settings"));
+    assertTrue(settings.endpointListPolled());
     long longest = 0;
     for (long seed = 0; seed < 100; seed++) {
-      Balancer module = new AdaptiveBalancer(settings, seed);
+      LoadBalancingPolicy module = new AdaptiveLoadBalancingPolicy(settings, seed);
       long now = 1_000_000_000_000L;
-      module.handle(now, new ListNews(ListKind.CACHED, List.of()), action -> {});
+      module.handle(
+          now, new EndpointListUpdate(EndpointListUpdate.Kind.CACHED, List.of()), action -> {});
       for (int failures = 0; failures < 20; failures++) {
         List<Action> actions = new ArrayList<>();
-        module.handle(now, new ListNews(ListKind.FAILED, List.of()), actions::add);
+        module.handle(
+            now, new EndpointListUpdate(EndpointListUpdate.Kind.FAILED, List.of()), actions::add);
         long failed = now;
-        while (!actions.contains(new Watch(true))) {
-          now = ((SetTimer) actions.get(actions.size() - 1)).atNanos();
+        while (!actions.contains(new WatchEndpoints(true))) {
+          now = ((SetTimer) actions.get(actions.size() - 1)).fireAtNanos();
           module.handle(now, new TimerFired("sweep"), actions::add);
         }
         longest = Math.max(longest, now - failed);
@@ -395,10 +407,10 @@
 
   @Test
   void refusalIsAFailure() throws Exception {
-    try (FakeServer server =
-        new FakeServer(
+    try (FakeUpstream server =
+        new FakeUpstream(
             (request, connection, out) ->
-                FakeServer.write(out, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
+                FakeUpstream.write(out, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
       discovery(server.address(), 60_000);
       assertEquals("failed", next());
       assertTrue(heard.isEmpty());
@@ -408,22 +420,22 @@
   @ParameterizedTest
   @ValueSource(strings = {"{\"index\":}\n", "{\"index\":8}\n", "nonsense\n", "[{]}\n", "}\n"})
   void malformedListIsAFailure(String text) throws Exception {
-    try (FakeServer server =
-        new FakeServer(
+    try (FakeUpstream server =
+        new FakeUpstream(
             (request, connection, out) -> {
-              FakeServer.write(out, HEAD);
+              FakeUpstream.write(out, HEAD);
               chunk(out, text);
             })) {
       discovery(server.address(), 60_000);
       assertEquals("failed", next());
-      TestNode.until(() -> server.closedByPeer.get() == 1);
+      TestProxy.until(() -> server.closedByPeer.get() == 1);
       assertTrue(heard.isEmpty());
     }
   }
 
   @Test
   void nobodyThereIsAFailure() throws Exception {
-    discovery(TestNode.nowhere(), 60_000);
+    discovery(TestProxy.nowhere(), 60_000);
     assertEquals("failed", next());
   }
 
@@ -433,15 +445,15 @@
    */
   @Test
   void noDescriptorForASocketIsAFailureAndTheNextCallIsMade() throws Exception {
-    try (FakeServer server =
-        new FakeServer(
+    try (FakeUpstream server =
+        new FakeUpstream(
             (request, connection, out) -> {
-              FakeServer.write(out, HEAD);
+              FakeUpstream.write(out, HEAD);
               chunk(out, list(8, true));
             })) {
       AtomicInteger left = new AtomicInteger(1);
-      Discovery discovery =
-          new Discovery(
+      DiscoveryClient discovery =
+          new DiscoveryClient(
               loop,
               () -> {
                 if (left.getAndDecrement() > 0) {
@@ -458,27 +470,27 @@
       loop.execute(() -> discovery.watch(true));
       assertEquals("failed", next());
       loop.execute(() -> discovery.watch(true));
-      assertEquals(8, ((HostList) next()).index());
+      assertEquals(8, ((EndpointList) next()).version());
     }
   }
 
   @Test
   void moveAsksTheNewOneForAllAtOnceAndIsNobodysFailure() throws Exception {
-    try (FakeServer before =
-            new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD));
-        FakeServer after =
-            new FakeServer(
+    try (FakeUpstream before =
+            new FakeUpstream((request, connection, out) -> FakeUpstream.write(out, HEAD));
+        FakeUpstream after =
+            new FakeUpstream(
                 (request, connection, out) -> {
-                  FakeServer.write(out, HEAD);
+                  FakeUpstream.write(out, HEAD);
                   chunk(out, list(3, true));
                 })) {
-      Discovery discovery = discovery(before.address(), 60_000);
-      TestNode.until(() -> before.requests.size() == 1);
+      DiscoveryClient discovery = discovery(before.address(), 60_000);
+      TestProxy.until(() -> before.requests.size() == 1);
       loop.execute(() -> discovery.moveTo(after.address()));
-      assertEquals(3, ((HostList) next()).index());
+      assertEquals(3, ((EndpointList) next()).version());
       assertTrue(
           after.requests.get(0).startsWith("GET /discovery/hosts?watch=1 "), after.requests.get(0));
-      TestNode.until(() -> before.closedByPeer.get() == 1);
+      TestProxy.until(() -> before.closedByPeer.get() == 1);
       loop.execute(() -> discovery.watch(true));
       loop.submit(() -> {}).get();
       assertTrue(heard.isEmpty(), "the old one's end is no failure");
@@ -488,54 +500,54 @@
 
   @Test
   void moveDuringTheBackOffDoesNotWaitForItsEnd() throws Exception {
-    try (FakeServer after =
-        new FakeServer(
+    try (FakeUpstream after =
+        new FakeUpstream(
             (request, connection, out) -> {
-              FakeServer.write(out, HEAD);
+              FakeUpstream.write(out, HEAD);
               chunk(out, list(3, true));
             })) {
-      Discovery discovery = discovery(TestNode.nowhere(), 60_000);
+      DiscoveryClient discovery = discovery(TestProxy.nowhere(), 60_000);
       assertEquals("failed", next());
       loop.execute(() -> discovery.moveTo(after.address()));
-      assertEquals(3, ((HostList) next()).index(), "though nobody has asked again");
+      assertEquals(3, ((EndpointList) next()).version(), "though nobody has asked again");
     }
   }
 
   /** Guards the rule on SIGHUP: only a call that ends can be followed by another one in time. */
   @Test
   void moveToAnAddressThatIsSilentEndsLikeAnyCallAndIsAskedAgain() throws Exception {
-    try (FakeServer after = new FakeServer((request, connection, out) -> {})) {
-      Discovery discovery = discovery(TestNode.nowhere(), 500, 60_000);
+    try (FakeUpstream after = new FakeUpstream((request, connection, out) -> {})) {
+      DiscoveryClient discovery = discovery(TestProxy.nowhere(), 500, 60_000);
       assertEquals("failed", next());
       loop.execute(() -> discovery.moveTo(after.address()));
       assertEquals("failed", next());
       after.behaviour =
           (request, connection, out) -> {
-            FakeServer.write(out, HEAD);
+            FakeUpstream.write(out, HEAD);
             chunk(out, list(3, true));
           };
       loop.execute(() -> discovery.watch(true));
-      assertEquals(3, ((HostList) next()).index());
+      assertEquals(3, ((EndpointList) next()).version());
     }
   }
 
   @Test
   void nodeFollowsAnAddressThatMovedAndAsksAgainAfterAFailure() throws Exception {
-    try (FakeServer before = FakeServer.serving("before");
-        FakeServer after = FakeServer.serving("after");
-        FakeServer server =
-            new FakeServer(
+    try (FakeUpstream before = FakeUpstream.serving("before");
+        FakeUpstream after = FakeUpstream.serving("after");
+        FakeUpstream server =
+            new FakeUpstream(
                 (request, connection, out) ->
-                    FakeServer.write(out, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
-      TestNode node = new TestNode(server.address(), 1, before);
+                    FakeUpstream.write(out, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
+      TestProxy node = new TestProxy(server.address(), 1, before);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals("before", client.call(TestClient.look("1", 15_000, "")).body());
         server.behaviour =
             (request, connection, out) -> {
-              FakeServer.write(out, HEAD);
-              chunk(out, list(8, false, TestNode.endpoint("s-0", after.address(), "in_service")));
+              FakeUpstream.write(out, HEAD);
+              chunk(out, list(8, false, TestProxy.endpoint("s-0", after.address(), "in_service")));
             };
-        TestNode.until(() -> before.closedByPeer.get() == 1);
+        TestProxy.until(() -> before.closedByPeer.get() == 1);
         assertEquals("after", client.call(TestClient.look("2", 15_000, "")).body());
       }
     }
@@ -559,26 +571,26 @@
   @MethodSource("crowds")
   void watchComesBackAndClientsAreServedThoughIdleOnesFillTheSockets(boolean silent, String[] crowd)
       throws Exception {
-    try (FakeServer before = FakeServer.serving("before");
-        FakeServer after = FakeServer.serving("after");
-        FakeServer server =
-            new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD))) {
-      TestNode node =
-          new TestNode(
-              TestNode.json(server.address(), 1, before)
+    try (FakeUpstream before = FakeUpstream.serving("before");
+        FakeUpstream after = FakeUpstream.serving("after");
+        FakeUpstream server =
+            new FakeUpstream((request, connection, out) -> FakeUpstream.write(out, HEAD))) {
+      TestProxy node =
+          new TestProxy(
+              TestProxy.json(server.address(), 1, before)
                   .replace("\"sockets\":1024", "\"sockets\":256"));
-      TestNode.until(() -> server.requests.size() == 1);
+      TestProxy.until(() -> server.requests.size() == 1);
       try (IdleClients idle = new IdleClients(node.address, 600, true, crowd)) {
-        TestNode.until(() -> idle.ended.get() > 0);
+        TestProxy.until(() -> idle.ended.get() > 0);
         if (!silent) {
           server.behaviour = (request, connection, out) -> connection.close();
           server.connections.get(0).close();
-          TestNode.until(() -> server.requests.size() > 2);
+          TestProxy.until(() -> server.requests.size() > 2);
         }
         server.behaviour =
             (request, connection, out) -> {
-              FakeServer.write(out, HEAD);
-              chunk(out, list(8, false, TestNode.endpoint("s-0", after.address(), "in_service")));
+              FakeUpstream.write(out, HEAD);
+              chunk(out, list(8, false, TestProxy.endpoint("s-0", after.address(), "in_service")));
             };
         int watches = server.requests.size();
         for (int i = 0; server.requests.size() == watches; i++) {
@@ -588,7 +600,7 @@
               "with the list it knows");
         }
         int[] calls = {0};
-        TestNode.until(
+        TestProxy.until(
             () ->
                 answerTo(node, TestClient.look("l" + calls[0]++, 15_000, ""))
                     .body()
@@ -599,7 +611,7 @@
   }
 
   /** The answer to a new client's first request. */
-  private static TestClient.Reply answerTo(TestNode node, String request) {
+  private static TestClient.Reply answerTo(TestProxy node, String request) {
     try (TestClient client = new TestClient(node.address)) {
       return client.call(request);
     } catch (IOException e) {
@@ -610,10 +622,10 @@
   @ParameterizedTest
   @ValueSource(strings = {"pushed", "on_request"})
   void nodeFollowsTheListHoweverTheSettingsSayThatItComes(String mode) throws Exception {
-    try (FakeServer server =
-        new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD))) {
-      new TestNode(TestNode.json(server.address(), 1).replace("on_request", mode));
-      TestNode.until(() -> server.requests.size() == 1);
+    try (FakeUpstream server =
+        new FakeUpstream((request, connection, out) -> FakeUpstream.write(out, HEAD))) {
+      new TestProxy(TestProxy.json(server.address(), 1).replace("on_request", mode));
+      TestProxy.until(() -> server.requests.size() == 1);
       assertTrue(
           server.requests.get(0).startsWith("GET /discovery/hosts?watch=1&after=7 "),
           server.requests.get(0));
@@ -622,19 +634,20 @@
 
   @Test
   void upstreamAbsentFromAWholeListGetsNothingMore() throws Exception {
-    try (FakeServer kept = FakeServer.serving("kept");
-        FakeServer gone = FakeServer.serving("gone");
-        FakeServer server =
-            new FakeServer(
+    try (FakeUpstream kept = FakeUpstream.serving("kept");
+        FakeUpstream gone = FakeUpstream.serving("gone");
+        FakeUpstream server =
+            new FakeUpstream(
                 (request, connection, out) -> {
-                  FakeServer.write(out, HEAD);
-                  chunk(out, list(8, true, TestNode.endpoint("s-0", kept.address(), "in_service")));
+                  FakeUpstream.write(out, HEAD);
+                  chunk(
+                      out, list(8, true, TestProxy.endpoint("s-0", kept.address(), "in_service")));
                 })) {
-      TestNode node = new TestNode(server.address(), 1, kept, gone);
-      TestNode.until(() -> server.requests.size() == 1);
+      TestProxy node = new TestProxy(server.address(), 1, kept, gone);
+      TestProxy.until(() -> server.requests.size() == 1);
       try (TestClient client = new TestClient(node.address)) {
         int[] calls = {0};
-        TestNode.until(() -> allKept(client, calls));
+        TestProxy.until(() -> allKept(client, calls));
       }
     }
   }
--- a/src/test/java/pumicekeel/node/WarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/WarmUpTest.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -10,11 +10,17 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
+import loadbalancer.config.JsonObjectReader;
+import loadbalancer.config.PolicySettingsReader;
+import loadbalancer.policy.AdaptiveLoadBalancingPolicy;
+import loadbalancer.proxy.TestProxy;
+import loadbalancer.proxy.coordinator.RequestCoordinator;
+import loadbalancer.proxy.downstream.DownstreamServer;
+import loadbalancer.proxy.telemetry.EventLoopLag;
+import loadbalancer.proxy.transport.EpochClock;
+import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import pumicekeel.AdaptiveBalancer;
-import pumicekeel.adapter.Decoder;
-import pumicekeel.adapter.Fields;
 
 /** The requests that a balancer makes up for itself before it says that it is up. */
 class WarmUpTest {
@@ -42,22 +48,24 @@
 
   @Test
   void slowCoreDoesNotCutTheWarmUpShort() throws Exception {
-    Fields f = Fields.parse("configuration", TestNode.json(TestNode.nowhere(), 1));
-    var settings = Decoder.settings(f.nested("settings"));
-    LoopLag lag = new LoopLag(loop);
-    ConnectionPool pool = new ConnectionPool(loop, 1_000_000_000L, 60_000_000_000L, 10);
-    BalancerCore core =
-        new BalancerCore(
+    JsonObjectReader f =
+        JsonObjectReader.parse("configuration", TestProxy.json(TestProxy.nowhere(), 1));
+    var settings = PolicySettingsReader.read(f.nested("settings"));
+    EventLoopLag lag = new EventLoopLag(loop);
+    UpstreamConnectionPools pool =
+        new UpstreamConnectionPools(loop, 1_000_000_000L, 60_000_000_000L, 10);
+    RequestCoordinator core =
+        new RequestCoordinator(
             settings,
-            new AdaptiveBalancer(settings, 1),
-            new Clock(),
+            new AdaptiveLoadBalancingPolicy(settings, 1),
+            new EpochClock(),
             loop,
             lag,
             pool,
             defect -> {});
     String path = WarmUp.newPath();
     InetSocketAddress address =
-        new ClientSide(loop, settings, core, 100, path)
+        new DownstreamServer(loop, settings, core, 100, path)
             .listen(new InetSocketAddress("127.0.0.1", 0));
     BlockingQueue<Integer> made = new LinkedBlockingQueue<>();
     loop.execute(this::stall);
--- a/src/test/java/pumicekeel/node/RoundedEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/transport/MillisecondEventLoopTest.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** How an event loop waits for its timers. */
-class RoundedEventLoopTest {
+class MillisecondEventLoopTest {
 
   private static final int TIMERS = 50;
   private static final long TIMER_NANOS = 2_300_000L;
@@ -29,8 +29,9 @@
           rounds.incrementAndGet();
           return tasks ? selectNow.get() : SelectStrategy.SELECT;
         };
-    RoundedEventLoop loop =
-        new RoundedEventLoop(NioIoHandler.newFactory(SelectorProvider.provider(), () -> counting));
+    MillisecondEventLoop loop =
+        new MillisecondEventLoop(
+            NioIoHandler.newFactory(SelectorProvider.provider(), () -> counting));
     try {
       CountDownLatch fired = new CountDownLatch(TIMERS);
       loop.execute(() -> next(loop, fired));
@@ -41,7 +42,7 @@
     }
   }
 
-  private static void next(RoundedEventLoop loop, CountDownLatch fired) {
+  private static void next(MillisecondEventLoop loop, CountDownLatch fired) {
     loop.schedule(
         () -> {
           fired.countDown();
@@ -55,7 +56,7 @@
 
   @Test
   void waitIsWholeMillisecondsAndNoShorterThanTheTimers() throws Exception {
-    RoundedEventLoop loop = new RoundedEventLoop(NioIoHandler.newFactory());
+    MillisecondEventLoop loop = new MillisecondEventLoop(NioIoHandler.newFactory());
     try {
       loop.submit(
               () -> {
--- a/src/test/java/pumicekeel/node/PeerSocketTest.java
+++ b/src/test/java/loadbalancer/proxy/transport/PeekableSocketChannelTest.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Test;
 
 /** What waits unread on a socket. */
-class PeerSocketTest {
+class PeekableSocketChannelTest {
 
   /** What is done with the two ends of a connection. */
   interface Ends {
-    void use(PeerSocket socket, Socket peer) throws Exception;
+    void use(PeekableSocketChannel socket, Socket peer) throws Exception;
   }
 
   private static void connected(Ends ends) throws Exception {
@@ -24,7 +24,7 @@
       try (Socket peer = new Socket(address.getAddress(), address.getPort());
           var accepted = listener.accept()) {
         peer.setTcpNoDelay(true);
-        ends.use(new PeerSocket(null, accepted), peer);
+        ends.use(new PeekableSocketChannel(null, accepted), peer);
       }
     }
   }
--- a/src/test/java/pumicekeel/node/UpstreamTableTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/EndpointTableTest.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,21 +12,24 @@
 import io.netty.channel.nio.NioIoHandler;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.config.EndpointList;
+import loadbalancer.policy.event.EndpointDescriptor;
+import loadbalancer.policy.event.EndpointStatus;
+import loadbalancer.proxy.TestProxy;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import pumicekeel.Balancer.Listed;
-import pumicekeel.Balancer.State;
 
 /** What is remembered of upstreams that come and go all day. */
-class UpstreamTableTest {
+class EndpointTableTest {
 
   private final EventLoop loop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-  private final UpstreamTable table =
-      new UpstreamTable(new ConnectionPool(loop, 1_000_000_000L, 60_000_000_000L, 10));
+  private final EndpointTable table =
+      new EndpointTable(new UpstreamConnectionPools(loop, 1_000_000_000L, 60_000_000_000L, 10));
 
-  private static HostList.Host host(long id, State state) {
-    return new HostList.Host(TestNode.nowhere(), new Listed(id, "a", 1, state, 0, 1));
+  private static EndpointList.Host host(long id, EndpointStatus state) {
+    return new EndpointList.Host(
+        TestProxy.nowhere(), new EndpointDescriptor(id, "a", 1, state, 0, 1));
   }
 
   @AfterEach
@@ -36,10 +39,11 @@
 
   @Test
   void thousandReplacedUpstreamsLeaveNothingBehind() {
-    table.news(true, List.of(host(0, State.READY)));
+    table.news(true, List.of(host(0, EndpointStatus.READY)));
     for (int id = 1; id <= 1_000; id++) {
-      table.news(false, List.of(host(id, State.READY), host(id - 1, State.DRAINING)));
-      table.news(false, List.of(host(id - 1, State.GONE)));
+      table.news(
+          false, List.of(host(id, EndpointStatus.READY), host(id - 1, EndpointStatus.DRAINING)));
+      table.news(false, List.of(host(id - 1, EndpointStatus.REMOVED)));
     }
     assertEquals(1, table.size());
     assertNotNull(table.get(1_000));
@@ -47,10 +51,10 @@
 
   @Test
   void oneThatIsGoneIsRememberedWhileAnAttemptIsOut() {
-    table.news(true, List.of(host(1, State.READY), host(2, State.READY)));
-    UpstreamTable.Entry first = table.get(1);
+    table.news(true, List.of(host(1, EndpointStatus.READY), host(2, EndpointStatus.READY)));
+    EndpointTable.Entry first = table.get(1);
     table.started(first);
-    table.news(true, List.of(host(2, State.READY)));
+    table.news(true, List.of(host(2, EndpointStatus.READY)));
     assertSame(first, table.get(1));
     assertTrue(first.leaving(), "absent from a whole list");
     table.ended(first);
@@ -60,11 +64,11 @@
 
   @Test
   void successorAtTheSameAddressInheritsNothing() {
-    table.news(true, List.of(host(1, State.READY)));
-    table.news(false, List.of(host(1, State.DRAINING)));
-    UpstreamPool before = table.get(1).pool();
-    table.news(false, List.of(host(2, State.READY)));
-    UpstreamPool after = table.get(2).pool();
+    table.news(true, List.of(host(1, EndpointStatus.READY)));
+    table.news(false, List.of(host(1, EndpointStatus.DRAINING)));
+    EndpointConnectionPool before = table.get(1).pool();
+    table.news(false, List.of(host(2, EndpointStatus.READY)));
+    EndpointConnectionPool after = table.get(2).pool();
     assertEquals(before.address(), after.address());
     assertFalse(before == after);
     assertFalse(table.get(2).leaving());
@@ -73,10 +77,10 @@
 
   @Test
   void oneThatIsReadyAgainLeavesNoMore() {
-    table.news(true, List.of(host(1, State.READY)));
-    table.news(false, List.of(host(1, State.DRAINING)));
-    table.news(false, List.of(host(1, State.GONE)));
-    table.news(false, List.of(host(1, State.READY)));
+    table.news(true, List.of(host(1, EndpointStatus.READY)));
+    table.news(false, List.of(host(1, EndpointStatus.DRAINING)));
+    table.news(false, List.of(host(1, EndpointStatus.REMOVED)));
+    table.news(false, List.of(host(1, EndpointStatus.READY)));
     assertFalse(table.get(1).leaving());
   }
 }
--- a/src/test/java/pumicekeel/node/ConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolsTest.java
@@ -1,4 +1,4 @@
-package pumicekeel.node;
+package loadbalancer.proxy.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -12,25 +12,41 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import loadbalancer.policy.event.AttemptStatus;
+import loadbalancer.policy.settings.DeduplicationScope;
+import loadbalancer.policy.settings.RequestClass;
+import loadbalancer.policy.settings.RequestEffect;
+import loadbalancer.proxy.FakeUpstream;
+import loadbalancer.proxy.TestProxy;
+import loadbalancer.proxy.http.ClientRequest;
+import loadbalancer.proxy.transport.EpochClock;
+import loadbalancer.proxy.transport.PeekableSocketChannel;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import pumicekeel.Balancer.DedupScope;
-import pumicekeel.Balancer.Effect;
-import pumicekeel.Balancer.RequestClass;
-import pumicekeel.Balancer.Status;
 
 /** Limits of the pool, and what a send comes to that is over before its first byte. */
-class ConnectionPoolTest {
+class UpstreamConnectionPoolsTest {
 
   private static final long LONG = 60_000_000_000L;
 
   private final EventLoop loop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-  private final BlockingQueue<Status> outcomes = new LinkedBlockingQueue<>();
+  private final BlockingQueue<AttemptStatus> outcomes = new LinkedBlockingQueue<>();
 
-  private void send(UpstreamPool pool, String id, boolean maySend, UpstreamAttempt.Ending ending) {
+  private void send(
+      EndpointConnectionPool pool, String id, boolean maySend, UpstreamAttempt.Ending ending) {
     RequestClass type =
-        new RequestClass("look", Effect.SAFE, DedupScope.ALL, LONG, LONG, 0, LONG, 1, 0, false);
+        new RequestClass(
+            "look",
+            RequestEffect.IDEMPOTENT,
+            DeduplicationScope.ALL,
+            LONG,
+            LONG,
+            0,
+            LONG,
+            1,
+            0,
+            false);
     ClientRequest request =
         new ClientRequest(
             id,
@@ -47,33 +63,33 @@
             null,
             new byte[0]);
     new UpstreamAttempt(0, 1, 0, pool, ending)
-        .start(request, LONG, () -> maySend, new Clock(), loop);
+        .start(request, LONG, () -> maySend, new EpochClock(), loop);
   }
 
-  private void attempt(UpstreamPool pool, boolean maySend) {
+  private void attempt(EndpointConnectionPool pool, boolean maySend) {
     loop.execute(() -> send(pool, "1", maySend, (attempt, status, answer) -> outcomes.add(status)));
   }
 
-  private Status outcome() throws InterruptedException {
+  private AttemptStatus outcome() throws InterruptedException {
     return outcomes.poll(30, TimeUnit.SECONDS);
   }
 
-  private ConnectionPool pool(long idleNanos, int most) throws Exception {
-    return loop.submit(() -> new ConnectionPool(loop, LONG, idleNanos, most)).get();
+  private UpstreamConnectionPools pool(long idleNanos, int most) throws Exception {
+    return loop.submit(() -> new UpstreamConnectionPools(loop, LONG, idleNanos, most)).get();
   }
 
   @Test
   void secondCopyRightBehindAnAnswerIsNotTheNextSendsAnswer() throws Exception {
     // The next send starts from within the first one's outcome, as a module does that had a request
     // waiting.
-    try (FakeServer upstream =
-        new FakeServer(
+    try (FakeUpstream upstream =
+        new FakeUpstream(
             (request, connection, out) -> {
               String answer =
-                  FakeServer.ok(request.contains("X-Correlation-Id: 1\n") ? "mine" : "next");
-              FakeServer.write(out, answer + answer);
+                  FakeUpstream.ok(request.contains("X-Correlation-Id: 1\n") ? "mine" : "next");
+              FakeUpstream.write(out, answer + answer);
             })) {
-      UpstreamPool pool = of(pool(LONG, 10), upstream.address());
+      EndpointConnectionPool pool = of(pool(LONG, 10), upstream.address());
       BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
       loop.execute(
           () ->
@@ -94,7 +110,8 @@
     }
   }
 
-  private UpstreamPool of(ConnectionPool pool, InetSocketAddress address) throws Exception {
+  private EndpointConnectionPool of(UpstreamConnectionPools pool, InetSocketAddress address)
+      throws Exception {
     return loop.submit(() -> pool.of(address)).get();
   }
 
@@ -105,12 +122,12 @@
 
   @Test
   void sendThatIsOverWhenTheConnectionIsUpWritesNothingAndLeavesItForTheNext() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
-      UpstreamPool pool = of(pool(LONG, 10), upstream.address());
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      EndpointConnectionPool pool = of(pool(LONG, 10), upstream.address());
       attempt(pool, false);
-      assertEquals(Status.NOT_SENT, outcome());
+      assertEquals(AttemptStatus.NOT_SENT, outcome());
       attempt(pool, true);
-      assertEquals(Status.SERVED, outcome());
+      assertEquals(AttemptStatus.SERVED, outcome());
       assertEquals(1, upstream.requests.size());
       assertEquals(1, upstream.connections.size());
     }
@@ -118,18 +135,18 @@
 
   @Test
   void idleConnectionIsClosedBeforeTheUpstreamWould() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
       attempt(of(pool(100_000_000L, 10), upstream.address()), true);
-      assertEquals(Status.SERVED, outcome());
-      TestNode.until(() -> upstream.closedByPeer.get() == 1);
+      assertEquals(AttemptStatus.SERVED, outcome());
+      TestProxy.until(() -> upstream.closedByPeer.get() == 1);
     }
   }
 
   @Test
   void keptConnectionThatWasBrokenTakesThoseWithItThatWereKeptForLonger() throws Exception {
     AtomicInteger waiting = new AtomicInteger();
-    try (FakeServer upstream =
-        new FakeServer(
+    try (FakeUpstream upstream =
+        new FakeUpstream(
             (request, connection, out) -> {
               if (request.contains("X-Correlation-Id: break\n")) {
                 connection.setSoLinger(true, 0);
@@ -137,35 +154,35 @@
                 return;
               }
               waiting.incrementAndGet();
-              TestNode.until(() -> waiting.get() == 3);
-              FakeServer.write(out, FakeServer.ok("fine"));
+              TestProxy.until(() -> waiting.get() == 3);
+              FakeUpstream.write(out, FakeUpstream.ok("fine"));
             })) {
-      UpstreamPool pool = of(pool(LONG, 10), upstream.address());
+      EndpointConnectionPool pool = of(pool(LONG, 10), upstream.address());
       for (int i = 0; i < 3; i++) {
         attempt(pool, true);
       }
       for (int i = 0; i < 3; i++) {
-        assertEquals(Status.SERVED, outcome());
+        assertEquals(AttemptStatus.SERVED, outcome());
       }
       loop.execute(
           () -> send(pool, "break", true, (attempt, status, answer) -> outcomes.add(status)));
-      assertEquals(Status.RESET, outcome());
-      TestNode.until(() -> upstream.closedByPeer.get() == 3);
+      assertEquals(AttemptStatus.RESET, outcome());
+      TestProxy.until(() -> upstream.closedByPeer.get() == 3);
     }
   }
 
   @Test
   void atTheLimitAnIdleConnectionGivesWayAndABusyOneDoesNot() throws Exception {
-    try (FakeServer first = FakeServer.serving("fine");
-        FakeServer second = new FakeServer((r, c, out) -> {})) {
-      ConnectionPool pool = pool(LONG, 1);
-      UpstreamPool toFirst = of(pool, first.address());
+    try (FakeUpstream first = FakeUpstream.serving("fine");
+        FakeUpstream second = new FakeUpstream((r, c, out) -> {})) {
+      UpstreamConnectionPools pool = pool(LONG, 1);
+      EndpointConnectionPool toFirst = of(pool, first.address());
       attempt(toFirst, true);
-      assertEquals(Status.SERVED, outcome());
+      assertEquals(AttemptStatus.SERVED, outcome());
       attempt(of(pool, second.address()), true);
-      TestNode.until(() -> first.closedByPeer.get() == 1 && second.requests.size() == 1);
+      TestProxy.until(() -> first.closedByPeer.get() == 1 && second.requests.size() == 1);
       attempt(toFirst, true);
-      assertEquals(Status.CONNECT_FAILED, outcome());
+      assertEquals(AttemptStatus.CONNECT_FAILED, outcome());
       assertEquals(1, first.requests.size());
     }
   }
@@ -176,13 +193,13 @@
    */
   @Test
   void attemptWithoutADescriptorForItsSocketFailsAtOnceAndTakesNoRoom() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine")) {
+    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
       AtomicInteger left = new AtomicInteger(2);
-      UpstreamPool pool =
+      EndpointConnectionPool pool =
           of(
               loop.submit(
                       () ->
-                          new ConnectionPool(
+                          new UpstreamConnectionPools(
                               loop,
                               LONG,
                               LONG,
@@ -191,7 +208,7 @@
                                 if (left.getAndDecrement() > 0) {
                                   throw new ChannelException("too many open files");
                                 }
-                                return new PeerSocket();
+                                return new PeekableSocketChannel();
                               }))
                   .get(),
               upstream.address());
@@ -207,11 +224,11 @@
                       outcomes.add(status);
                       onLoop.add(loop.inEventLoop());
                     }));
-        assertEquals(Status.CONNECT_FAILED, outcome());
+        assertEquals(AttemptStatus.CONNECT_FAILED, outcome());
         assertEquals(true, onLoop.poll(30, TimeUnit.SECONDS), "an outcome is the loop's");
       }
       attempt(pool, true);
-      assertEquals(Status.SERVED, outcome());
+      assertEquals(AttemptStatus.SERVED, outcome());
     }
   }
 }
--- a/src/test/java/pumicekeel/adapter/LinkTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorSessionTest.java
@@ -1,4 +1,4 @@
-package pumicekeel.adapter;
+package loadbalancer.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,13 +11,24 @@
 import java.io.IOException;
 import java.io.StringWriter;
 import java.nio.charset.StandardCharsets;
+import loadbalancer.config.WireFormatException;
+import loadbalancer.policy.action.CancelAttempt;
+import loadbalancer.policy.action.CheckHealth;
+import loadbalancer.policy.action.CloseIdleConnections;
+import loadbalancer.policy.action.FailRequest;
+import loadbalancer.policy.action.FetchEndpoints;
+import loadbalancer.policy.action.ForwardAttempt;
+import loadbalancer.policy.action.LogMessage;
+import loadbalancer.policy.action.RejectRequest;
+import loadbalancer.policy.action.SendPeerMessage;
+import loadbalancer.policy.action.SetTimer;
+import loadbalancer.policy.action.WatchEndpoints;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pumicekeel.Balancer;
 
 /** The wire: conversations byte for byte, every action, and each kind of malformed input. */
-class LinkTest {
+class SimulatorSessionTest {
 
   private static final String CLASS =
       "{\"name\":\"c\",\"aim-ns\":400000000,\"deadline-ns\":2000000000,"
@@ -33,7 +44,8 @@
   private static String talk(String... lines) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     String text = String.join("\n", lines) + "\n";
-    new Link(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), out).run();
+    new SimulatorSession(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), out)
+        .run();
     return out.toString(StandardCharsets.UTF_8);
   }
 
@@ -94,17 +106,17 @@
     StringWriter text = new StringWriter();
     try (JsonGenerator g = new JsonFactory().createGenerator(text)) {
       g.writeStartArray();
-      Encoder.write(g, new Balancer.Send("a", 7, 5));
-      Encoder.write(g, new Balancer.Cancel("a", 1));
-      Encoder.write(g, new Balancer.Refuse("a", 9));
-      Encoder.write(g, new Balancer.Fail("a"));
-      Encoder.write(g, new Balancer.SetTimer("t", 3));
-      Encoder.write(g, new Balancer.Watch(false));
-      Encoder.write(g, new Balancer.FetchList());
-      Encoder.write(g, new Balancer.Probe(7));
-      Encoder.write(g, new Balancer.CloseIdle(7));
-      Encoder.write(g, new Balancer.TellPeer(-1, "hi 7".getBytes(StandardCharsets.UTF_8)));
-      Encoder.write(g, new Balancer.Log("x"));
+      ActionEncoder.write(g, new ForwardAttempt("a", 7, 5));
+      ActionEncoder.write(g, new CancelAttempt("a", 1));
+      ActionEncoder.write(g, new RejectRequest("a", 9));
+      ActionEncoder.write(g, new FailRequest("a"));
+      ActionEncoder.write(g, new SetTimer("t", 3));
+      ActionEncoder.write(g, new WatchEndpoints(false));
+      ActionEncoder.write(g, new FetchEndpoints());
+      ActionEncoder.write(g, new CheckHealth(7));
+      ActionEncoder.write(g, new CloseIdleConnections(7));
+      ActionEncoder.write(g, new SendPeerMessage(-1, "hi 7".getBytes(StandardCharsets.UTF_8)));
+      ActionEncoder.write(g, new LogMessage("x"));
       g.writeEndArray();
     }
     assertEquals(
@@ -136,13 +148,13 @@
   void anExceptionInTheModuleIsAFault() throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator g = new JsonFactory().createGenerator(text)) {
-      Encoder.writeFault(g, new IllegalStateException("odd"));
+      ActionEncoder.writeFault(g, new IllegalStateException("odd"));
     }
     assertTrue(
         text.toString()
             .startsWith(
                 "{\"Fault\":{\"note-text\":\"java.lang.IllegalStateException: odd at"
-                    + " pumicekeel.adapter.LinkTest."),
+                    + " loadbalancer.simulator.SimulatorSessionTest."),
         text.toString());
   }
 
@@ -167,19 +179,19 @@
         "{\"clock-ns\":1,\"groups\":[]} {} | expected one value a line"
       })
   void malformedInputSaysWhatAndWhere(String line, String message) {
-    WireException e = assertThrows(WireException.class, () -> talk(PROVISION, line));
+    WireFormatException e = assertThrows(WireFormatException.class, () -> talk(PROVISION, line));
     assertTrue(e.getMessage().startsWith("line 2: "), e.getMessage());
     assertTrue(e.getMessage().contains(message), e.getMessage());
   }
 
   @Test
   void senselessSettingsAreRefusedByName() {
-    WireException none =
-        assertThrows(WireException.class, () -> talk(PROVISION.replace(CLASS, "")));
+    WireFormatException none =
+        assertThrows(WireFormatException.class, () -> talk(PROVISION.replace(CLASS, "")));
     assertEquals("line 1: settings: classes must not be empty", none.getMessage());
-    WireException negative =
+    WireFormatException negative =
         assertThrows(
-            WireException.class,
+            WireFormatException.class,
             () -> talk(PROVISION.replace("\"aim-ns\":400000000", "\"aim-ns\":-4")));
     assertEquals("line 1: settings: aim of class c must be above 0", negative.getMessage());
   }
