--- a/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
@@ -410,7 +410,7 @@
           }
         });
     take("1", "look", 15_000);
-    assertTrue(defects.poll(30, TimeUnit.SECONDS).getMessage().contains("FetchList"));
+    assertTrue(defects.poll(30, TimeUnit.SECONDS).getMessage().contains("FetchEndpoints"));
   }
 
   /** Whatever the grace: with none, one that is ready still gets its requests. */
