--- a/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
@@ -96,7 +96,7 @@
   public void report() {
     String line = counters.report();
     if (line != null) {
-      EventLog.line("open " + table.size() + ", " + line);
+      EventLog.info("open " + table.size() + ", " + line);
     }
   }
 
@@ -165,7 +165,7 @@
    */
   private void answerForModule(OpenRequest r) {
     if (end(r)) {
-      EventLog.caused("answered for the module: " + r.request.requestId());
+      EventLog.infoRateLimited("answered for the module: " + r.request.requestId());
       giveUp(r);
       tell(new ClientDisconnected(r.request.requestId()));
     }
@@ -278,7 +278,7 @@
     } else if (action instanceof WatchEndpoints a) {
       watch.accept(a.enabled());
     } else if (action instanceof LogMessage a) {
-      EventLog.caused("module: " + a.text());
+      EventLog.infoRateLimited("module: " + a.text());
     } else {
       throw new IllegalStateException(
           "the module asked for what this balancer has no use of: "
@@ -345,7 +345,7 @@
       r.client.served(answer);
     }
     over.add(r);
-    long latency = attempt.latencyNanos(clock.now() - lag.waitNanos());
+    long latency = attempt.latencyNanos(clock.now() - lag.meanReadDelayNanos());
     counters.ended(
         attempt.address(),
         kindOf(upstream.descriptor()),
@@ -353,7 +353,7 @@
         attempt.foundStaleConnection(),
         attempt.unsentNanos(),
         latency);
-    counters.lag(lag.lateNanos());
+    counters.lag(lag.lagNanos());
     tell(
         new AttemptCompleted(
             r.request.requestId(),
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -196,7 +196,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      EventLog.caused(
+      EventLog.infoRateLimited(
           "discovery: watches " + address + (index == NO_INDEX ? "" : " from version " + index));
       DefaultFullHttpRequest request =
           new DefaultFullHttpRequest(
@@ -277,7 +277,7 @@
       EndpointList list = EndpointList.of(JsonObjectReader.parse("list", text));
       index = list.version();
       heard();
-      EventLog.caused("discovery: " + list);
+      EventLog.infoRateLimited("discovery: " + list);
       news.accept(list);
     }
 
@@ -297,7 +297,7 @@
       close(channel);
       if (current == channel) {
         current = null;
-        EventLog.caused("discovery: watch failed: " + why);
+        EventLog.infoRateLimited("discovery: watch failed: " + why);
         failed.run();
       }
     }
--- a/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
@@ -354,7 +354,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      EventLog.caused("client " + context.channel().remoteAddress() + ": " + cause);
+      EventLog.infoRateLimited("client " + context.channel().remoteAddress() + ": " + cause);
     }
     context.close();
   }
--- a/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
@@ -58,7 +58,7 @@
     if (before.equals(SignalHandler.SIG_IGN)) {
       // Java leaves a signal alone that its parent ignored, as nohup does, and nothing in Java can
       // change that.
-      EventLog.line(
+      EventLog.info(
           "reload: started with SIGHUP ignored, so the configuration is read again when its file"
               + " changes");
       reload.changed();
@@ -93,7 +93,7 @@
     try {
       next.accept(ProxyConfiguration.reread(environment));
     } catch (IOException | RuntimeException e) {
-      EventLog.line("reload: the configuration stays as it was: " + e);
+      EventLog.info("reload: the configuration stays as it was: " + e);
     }
   }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
@@ -152,11 +152,11 @@
               warmUpPath,
               configuration.settings(),
               requests -> {
-                EventLog.line("warmed up with " + requests + " requests");
+                EventLog.info("warmed up with " + requests + " requests");
                 clients.setReady();
                 loop.scheduleAtFixedRate(
                     core::report, REPORT_MILLIS, REPORT_MILLIS, TimeUnit.MILLISECONDS);
-                EventLog.line(
+                EventLog.info(
                     configuration.name()
                         + " of zone "
                         + configuration.settings().zone()
@@ -175,7 +175,7 @@
   void reload(ProxyConfiguration next) {
     loop.execute(
         () -> {
-          EventLog.line(configuration.name() + " reloads: discovery at " + next.discovery());
+          EventLog.info(configuration.name() + " reloads: discovery at " + next.discovery());
           discovery.moveTo(next.discovery());
         });
   }
@@ -184,7 +184,7 @@
   void drain() {
     loop.execute(
         () -> {
-          EventLog.line(configuration.name() + " drains");
+          EventLog.info(configuration.name() + " drains");
           clients.drain();
           long end =
               END_MILLIS
@@ -206,7 +206,7 @@
     clients.closeIdle();
     if (clients.open() == 0) {
       core.report();
-      EventLog.line(configuration.name() + " has drained");
+      EventLog.info(configuration.name() + " has drained");
       drained.countDown();
     } else {
       loop.schedule(this::endOnceIdle, POLL_MILLIS, TimeUnit.MILLISECONDS);
@@ -226,7 +226,7 @@
    * without it.
    */
   private void defect(RuntimeException e) {
-    EventLog.line(
+    EventLog.info(
         "defect of the module: "
             + e
             + " at "
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
@@ -124,7 +124,7 @@
             loop,
             lag,
             pool,
-            e -> EventLog.line("defect of the module while warming up: " + e));
+            e -> EventLog.info("defect of the module while warming up: " + e));
     side = new DownstreamServer(loop, settings, core, AT_ONCE, null);
   }
 
--- a/src/main/java/loadbalancer/proxy/telemetry/EventLog.java
+++ b/src/main/java/loadbalancer/proxy/telemetry/EventLog.java
@@ -19,17 +19,17 @@
   private EventLog() {}
 
   /** A line that something on a socket caused: left out where there are too many. */
-  public static void caused(String text) {
+  public static void infoRateLimited(String text) {
     long second = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime());
     if (SECOND.getAndSet(second) != second) {
       CAUSED.set(0);
     }
     if (CAUSED.incrementAndGet() <= CAUSED_PER_SECOND) {
-      line(text);
+      info(text);
     }
   }
 
-  public static void line(String text) {
+  public static void info(String text) {
     System.err.println(text.replace('\n', ' ').replace('\r', ' '));
   }
 }
--- a/src/main/java/loadbalancer/proxy/telemetry/EventLoopLag.java
+++ b/src/main/java/loadbalancer/proxy/telemetry/EventLoopLag.java
@@ -40,12 +40,12 @@
   /**
    * How long what is read now has waited in its socket, on average; only for the loop's own thread.
    */
-  public long waitNanos() {
-    return lateNanos() / WAIT_PART;
+  public long meanReadDelayNanos() {
+    return lagNanos() / WAIT_PART;
   }
 
   /** How late the loop's timer is, or last was. */
-  public long lateNanos() {
+  public long lagNanos() {
     return Math.max(late, System.nanoTime() - due);
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -201,7 +201,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      EventLog.caused("upstream " + pool.address() + ": " + cause);
+      EventLog.infoRateLimited("upstream " + pool.address() + ": " + cause);
     }
     broken();
   }
