--- a/src/main/java/loadbalancer/proxy/telemetry/EventLoopLag.java
+++ b/src/main/java/loadbalancer/proxy/telemetry/EventLoopLag.java
@@ -4,48 +4,52 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How far the event loop is behind, seen by a timer that comes late. What comes in on a socket
- * meanwhile waits unread, and without this the wait would count as the upstream's latency: a
- * balancer that is short of CPU, as after a start, would take itself for an overload of all
- * upstreams. It covers any pause of the process as well (a collection, a core that others use). It
- * hurts where upstreams are slow just as long as the loop is, by half of its lag at most.
+ * Measures how far the event loop is behind, from the delay of a periodic timer. While the loop is
+ * behind, received bytes wait unread in their sockets. Attempt latencies are reduced by this wait,
+ * since a balancer short of CPU would otherwise measure all its endpoints as slow. The measure also
+ * covers pauses of the whole process, such as garbage collection. It underestimates an endpoint's
+ * latency by at most half of the lag, where the endpoint is slow while the loop is behind.
+ *
+ * <p>Belongs to the event loop: apart from the constructor, to be called on its thread only.
  */
 public final class EventLoopLag {
 
-  /** Short against any aim, and a hundred timers a second cost next to nothing. */
-  private static final long PERIOD_NANOS = 10_000_000L;
+  /** Short against any latency objective, at the cost of a hundred timers a second. */
+  private static final long SAMPLE_PERIOD_NANOS = 10_000_000L;
 
-  /** What waited came at any time since the loop last looked: half of that on average. */
-  private static final int WAIT_PART = 2;
+  /**
+   * Bytes arrive evenly spread over the time since the sockets were last polled, so they have
+   * waited for half of it on average.
+   */
+  private static final int LAG_PER_MEAN_DELAY = 2;
 
   private final EventLoop loop;
-  private long due;
-  private long late;
+  private long nextSampleNanos;
+  private long lastLagNanos;
 
+  /** Starts measuring this loop; may be called on any thread. */
   public EventLoopLag(EventLoop loop) {
     this.loop = loop;
-    loop.execute(this::next);
+    loop.execute(this::scheduleSample);
   }
 
-  private void next() {
-    due = System.nanoTime() + PERIOD_NANOS;
-    loop.schedule(this::tick, PERIOD_NANOS, TimeUnit.NANOSECONDS);
+  private void scheduleSample() {
+    nextSampleNanos = System.nanoTime() + SAMPLE_PERIOD_NANOS;
+    loop.schedule(this::sample, SAMPLE_PERIOD_NANOS, TimeUnit.NANOSECONDS);
   }
 
-  private void tick() {
-    late = Math.max(0, System.nanoTime() - due);
-    next();
+  private void sample() {
+    lastLagNanos = Math.max(0, System.nanoTime() - nextSampleNanos);
+    scheduleSample();
   }
 
-  /**
-   * How long what is read now has waited in its socket, on average; only for the loop's own thread.
-   */
+  /** Mean time in nanoseconds for which bytes read now have waited in their socket. */
   public long meanReadDelayNanos() {
-    return lagNanos() / WAIT_PART;
+    return lagNanos() / LAG_PER_MEAN_DELAY;
   }
 
-  /** How late the loop's timer is, or last was. */
+  /** The lag in nanoseconds: that of the last sample, or of the next one where it is overdue. */
   public long lagNanos() {
-    return Math.max(late, System.nanoTime() - due);
+    return Math.max(lastLagNanos, System.nanoTime() - nextSampleNanos);
   }
 }
