--- a/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
@@ -30,9 +30,12 @@
 import loadbalancer.policy.settings.PolicySettings;
 import loadbalancer.proxy.http.ClientRequest;
 import loadbalancer.proxy.http.UpstreamResponse;
+import loadbalancer.proxy.telemetry.CompletedAttempt;
+import loadbalancer.proxy.telemetry.EndpointCategory;
 import loadbalancer.proxy.telemetry.EventLog;
 import loadbalancer.proxy.telemetry.EventLoopLag;
 import loadbalancer.proxy.telemetry.TrafficCounters;
+import loadbalancer.proxy.telemetry.TrafficReporter;
 import loadbalancer.proxy.transport.EpochClock;
 import loadbalancer.proxy.upstream.EndpointTable;
 import loadbalancer.proxy.upstream.UpstreamAttempt;
@@ -62,6 +65,7 @@
   private final EventLoop loop;
   private final EventLoopLag lag;
   private final TrafficCounters counters = new TrafficCounters();
+  private final TrafficReporter trafficReporter = new TrafficReporter(counters);
   private final Consumer<RuntimeException> defect;
   private final Map<String, OpenRequest> table = new HashMap<>();
   private final EndpointTable upstreams;
@@ -94,10 +98,7 @@
 
   /** Logs what was done since the last report, if anything was. */
   public void report() {
-    String line = counters.report();
-    if (line != null) {
-      EventLog.info("open " + table.size() + ", " + line);
-    }
+    trafficReporter.logInterval(table.size());
   }
 
   /**
@@ -121,7 +122,7 @@
     if (table.putIfAbsent(request.requestId(), r) != null) {
       return false;
     }
-    counters.taken();
+    counters.requestReceived();
     r.guard = loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
     tell(
         new RequestArrived(
@@ -155,7 +156,7 @@
   public void clientGone(String id) {
     OpenRequest r = table.get(id);
     if (r != null && end(r)) {
-      counters.left();
+      counters.clientDisconnected();
       tell(new ClientDisconnected(id));
     }
   }
@@ -180,12 +181,16 @@
   }
 
   private void refuse(OpenRequest r, long retryAfterNanos) {
-    counters.refused(r.attempts.isEmpty() && taking);
+    if (r.attempts.isEmpty() && taking) {
+      counters.requestRejectedOnArrival();
+    } else {
+      counters.requestRejectedLater();
+    }
     r.client.refused(retryAfterNanos);
   }
 
   private void fail(OpenRequest r) {
-    counters.failed();
+    counters.requestFailed();
     r.client.failed();
   }
 
@@ -323,7 +328,7 @@
    */
   private boolean maySend(OpenRequest r, EndpointTable.Entry upstream) {
     if (!r.ended && !r.client.here() && end(r)) {
-      counters.left();
+      counters.clientDisconnected();
     }
     return !r.ended && !upstream.leaving() && r.repeatIsHarmless(clock.now());
   }
@@ -346,14 +351,15 @@
     }
     over.add(r);
     long latency = attempt.latencyNanos(clock.now() - lag.meanReadDelayNanos());
-    counters.ended(
-        attempt.address(),
-        kindOf(upstream.descriptor()),
-        status,
-        attempt.foundStaleConnection(),
-        attempt.unsentNanos(),
-        latency);
-    counters.lag(lag.lagNanos());
+    counters.attemptCompleted(
+        new CompletedAttempt(
+            attempt.address(),
+            categoryOf(upstream.descriptor()),
+            status,
+            attempt.foundStaleConnection(),
+            attempt.unsentNanos(),
+            latency));
+    counters.loopLagMeasured(lag.lagNanos());
     tell(
         new AttemptCompleted(
             r.request.requestId(),
@@ -366,12 +372,12 @@
             attempt.foundStaleConnection()));
   }
 
-  private TrafficCounters.Kind kindOf(EndpointDescriptor upstream) {
-    boolean cold = clock.now() - upstream.startedNanos() < settings.serviceRules().warmUpNanos();
-    return cold
-        ? TrafficCounters.Kind.COLD
-        : upstream.zone().equals(settings.zone())
-            ? TrafficCounters.Kind.NEAR
-            : TrafficCounters.Kind.AWAY;
+  private EndpointCategory categoryOf(EndpointDescriptor upstream) {
+    if (clock.now() - upstream.startedNanos() < settings.serviceRules().warmUpNanos()) {
+      return EndpointCategory.WARMING_UP;
+    }
+    return upstream.zone().equals(settings.zone())
+        ? EndpointCategory.LOCAL_ZONE
+        : EndpointCategory.REMOTE_ZONE;
   }
 }
--- a/src/main/java/loadbalancer/proxy/telemetry/TrafficCounters.java
+++ b/src/main/java/loadbalancer/proxy/telemetry/TrafficCounters.java
@@ -1,178 +1,213 @@
 package loadbalancer.proxy.telemetry;
 
 import java.net.InetSocketAddress;
-import java.util.Arrays;
-import java.util.Comparator;
+import java.util.EnumMap;
 import java.util.HashMap;
-import java.util.Locale;
 import java.util.Map;
-import java.util.StringJoiner;
 import loadbalancer.policy.event.AttemptStatus;
 
 /**
- * What a balancer did since its last report: a line of the log, to set a good stretch beside a bad
- * one.
+ * Counts the requests and attempts of one reporting interval; {@link TrafficReporter} turns them
+ * into a log line. Belongs to the event loop: no method may be called on another thread.
  */
 public final class TrafficCounters {
 
-  private static final double MILLI = 1e6;
-
-  /**
-   * Upstreams named in a report: those with most attempts that were not served, if that many were
-   * not.
-   */
-  private static final int WORST = 3;
-
-  private static final int WORST_LEAST = 3;
-
-  /**
-   * Upstreams as far as their latencies differ: of the balancer's zone, of another one, just
-   * started in either.
-   */
-  public enum Kind {
-    NEAR,
-    AWAY,
-    COLD
-  }
-
-  private static final class Upstream {
-    private int attempts;
-    private int unserved;
-  }
-
-  private final Map<InetSocketAddress, Upstream> upstreams = new HashMap<>();
-  private final int[] outcomes = new int[AttemptStatus.values().length];
-  private int taken;
-  private int refusedAtOnce;
-  private int refusedLater;
-  private int failed;
-  private int left;
-  private int stale;
-  private long unsentNanos;
-  private final int[] served = new int[Kind.values().length];
-  private final long[] servedNanos = new long[Kind.values().length];
-  private long timeoutNanos;
-  private long lagNanos;
-
-  public void taken() {
-    taken++;
-  }
-
-  /** A refusal; at once where no attempt was made and no time passed first. */
-  public void refused(boolean atOnce) {
-    refusedAtOnce += atOnce ? 1 : 0;
-    refusedLater += atOnce ? 0 : 1;
-  }
-
-  public void failed() {
-    failed++;
-  }
-
-  /** The client left first. */
-  public void left() {
-    left++;
-  }
-
-  /**
-   * An attempt ended; {@code unsent} passed from the decision to its first byte, {@code latency}
-   * from there on.
-   */
-  public void ended(
-      InetSocketAddress address,
-      Kind kind,
-      AttemptStatus status,
-      boolean foundStale,
-      long unsent,
-      long latency) {
-    Upstream upstream = upstreams.computeIfAbsent(address, a -> new Upstream());
-    upstream.attempts++;
-    upstream.unserved += status == AttemptStatus.SERVED ? 0 : 1;
-    outcomes[status.ordinal()]++;
-    stale += foundStale ? 1 : 0;
-    unsentNanos += unsent;
-    served[kind.ordinal()] += status == AttemptStatus.SERVED ? 1 : 0;
-    servedNanos[kind.ordinal()] += status == AttemptStatus.SERVED ? latency : 0;
-    timeoutNanos += status == AttemptStatus.TIMEOUT ? latency : 0;
-  }
-
-  public void lag(long nanos) {
-    lagNanos = Math.max(lagNanos, nanos);
-  }
-
-  /** The line, after which all counts start again; null where nothing happened. */
-  public String report() {
-    int attempts = 0;
-    int timeouts = outcomes[AttemptStatus.TIMEOUT.ordinal()];
-    StringJoiner byStatus = new StringJoiner(" ");
-    for (AttemptStatus s : AttemptStatus.values()) {
-      attempts += outcomes[s.ordinal()];
-      byStatus.add(s.name().toLowerCase(Locale.ROOT) + " " + outcomes[s.ordinal()]);
-      outcomes[s.ordinal()] = 0;
+  private static final double NANOS_PER_MILLI = 1e6;
+
+  private final Map<InetSocketAddress, EndpointAttempts> attemptsByEndpoint = new HashMap<>();
+  private final Map<AttemptStatus, Tally> attemptsByStatus = tallies(AttemptStatus.class);
+  private final Map<EndpointCategory, Tally> servedByCategory = tallies(EndpointCategory.class);
+  private int requestsReceived;
+  private int rejectedOnArrival;
+  private int rejectedLater;
+  private int requestsFailed;
+  private int clientDisconnects;
+  private int staleConnections;
+  private long sendDelayNanos;
+  private long maxLoopLagNanos;
+
+  /** Counts a request that was admitted to the table of open requests. */
+  public void requestReceived() {
+    requestsReceived++;
+  }
+
+  /** Counts a request rejected while its arrival was handled, before any attempt. */
+  public void requestRejectedOnArrival() {
+    rejectedOnArrival++;
+  }
+
+  /** Counts a request rejected after it was queued or attempted. */
+  public void requestRejectedLater() {
+    rejectedLater++;
+  }
+
+  /** Counts a request whose response said that it failed. */
+  public void requestFailed() {
+    requestsFailed++;
+  }
+
+  /** Counts a request whose client disconnected before its response. */
+  public void clientDisconnected() {
+    clientDisconnects++;
+  }
+
+  /** Counts a completed attempt and adds its times to the interval's sums. */
+  public void attemptCompleted(CompletedAttempt attempt) {
+    EndpointAttempts endpoint =
+        attemptsByEndpoint.computeIfAbsent(attempt.address(), address -> new EndpointAttempts());
+    endpoint.total++;
+    attemptsByStatus.get(attempt.status()).add(attempt.latencyNanos());
+    sendDelayNanos += attempt.sendDelayNanos();
+    if (attempt.foundStaleConnection()) {
+      staleConnections++;
     }
-    String line =
-        taken + attempts == 0
-            ? null
-            : String.format(
-                Locale.ROOT,
-                "taken %d, refused at once %d, refused later %d, failed %d, left %d; attempts: %s,"
-                    + " stale %d; mean ms: to first byte %.1f, served%s, timed out %.1f; worst loop"
-                    + " lag ms %.0f%s",
-                taken,
-                refusedAtOnce,
-                refusedLater,
-                failed,
-                left,
-                byStatus,
-                stale,
-                mean(unsentNanos, attempts),
-                servedByKind(),
-                mean(timeoutNanos, timeouts),
-                lagNanos / MILLI,
-                worst());
-    upstreams.clear();
-    taken = 0;
-    refusedAtOnce = 0;
-    refusedLater = 0;
-    failed = 0;
-    left = 0;
-    stale = 0;
-    unsentNanos = 0;
-    Arrays.fill(served, 0);
-    Arrays.fill(servedNanos, 0);
-    timeoutNanos = 0;
-    lagNanos = 0;
-    return line;
-  }
-
-  private static double mean(long nanos, int count) {
-    return nanos / MILLI / Math.max(1, count);
-  }
-
-  private String servedByKind() {
-    StringJoiner text = new StringJoiner(",");
-    for (Kind k : Kind.values()) {
-      int count = served[k.ordinal()];
-      text.add(
-          String.format(
-              Locale.ROOT,
-              " %s %d %.1f",
-              k.name().toLowerCase(Locale.ROOT),
-              count,
-              mean(servedNanos[k.ordinal()], count)));
+    if (attempt.status() == AttemptStatus.SERVED) {
+      servedByCategory.get(attempt.category()).add(attempt.latencyNanos());
+    } else {
+      endpoint.notServed++;
+    }
+  }
+
+  /** Keeps the interval's largest event-loop lag, in nanoseconds. */
+  public void loopLagMeasured(long lagNanos) {
+    maxLoopLagNanos = Math.max(maxLoopLagNanos, lagNanos);
+  }
+
+  /** Starts a new interval: sets every count and sum to zero. */
+  void reset() {
+    attemptsByEndpoint.clear();
+    attemptsByStatus.values().forEach(Tally::reset);
+    servedByCategory.values().forEach(Tally::reset);
+    requestsReceived = 0;
+    rejectedOnArrival = 0;
+    rejectedLater = 0;
+    requestsFailed = 0;
+    clientDisconnects = 0;
+    staleConnections = 0;
+    sendDelayNanos = 0;
+    maxLoopLagNanos = 0;
+  }
+
+  /** Whether no request was received and no attempt completed in this interval. */
+  boolean isEmpty() {
+    return requestsReceived + attempts() == 0;
+  }
+
+  /** Requests admitted to the table of open requests. */
+  int requestsReceived() {
+    return requestsReceived;
+  }
+
+  /** Requests rejected while their arrival was handled. */
+  int rejectedOnArrival() {
+    return rejectedOnArrival;
+  }
+
+  /** Requests rejected after they were queued or attempted. */
+  int rejectedLater() {
+    return rejectedLater;
+  }
+
+  /** Requests whose response said that they failed. */
+  int requestsFailed() {
+    return requestsFailed;
+  }
+
+  /** Requests whose client disconnected before the response. */
+  int clientDisconnects() {
+    return clientDisconnects;
+  }
+
+  /** Attempts that found a pooled connection closed by the endpoint. */
+  int staleConnections() {
+    return staleConnections;
+  }
+
+  /** Completed attempts of any status. */
+  int attempts() {
+    return attemptsByStatus.values().stream().mapToInt(tally -> tally.count).sum();
+  }
+
+  /** Completed attempts with this status. */
+  int attempts(AttemptStatus status) {
+    return attemptsByStatus.get(status).count;
+  }
+
+  /** Served attempts at endpoints of this category. */
+  int served(EndpointCategory category) {
+    return servedByCategory.get(category).count;
+  }
+
+  /** Mean latency in milliseconds of the served attempts at endpoints of this category. */
+  double meanServedMillis(EndpointCategory category) {
+    return servedByCategory.get(category).meanMillis();
+  }
+
+  /** Mean time in milliseconds from the decision to forward an attempt to its first byte sent. */
+  double meanSendDelayMillis() {
+    return meanMillis(sendDelayNanos, attempts());
+  }
+
+  /** Mean latency in milliseconds of the attempts that timed out. */
+  double meanTimeoutMillis() {
+    return attemptsByStatus.get(AttemptStatus.TIMEOUT).meanMillis();
+  }
+
+  /** The largest event-loop lag of the interval, in milliseconds. */
+  double maxLoopLagMillis() {
+    return maxLoopLagNanos / NANOS_PER_MILLI;
+  }
+
+  /** Completed attempts by the endpoint's address. */
+  Map<InetSocketAddress, EndpointAttempts> attemptsByEndpoint() {
+    return attemptsByEndpoint;
+  }
+
+  private static double meanMillis(long sumNanos, int count) {
+    return sumNanos / NANOS_PER_MILLI / Math.max(1, count);
+  }
+
+  private static <E extends Enum<E>> Map<E, Tally> tallies(Class<E> type) {
+    Map<E, Tally> tallies = new EnumMap<>(type);
+    for (E constant : type.getEnumConstants()) {
+      tallies.put(constant, new Tally());
+    }
+    return tallies;
+  }
+
+  /** A number of attempts and the sum of their latencies. */
+  private static final class Tally {
+    private int count;
+    private long sumNanos;
+
+    private void add(long nanos) {
+      count++;
+      sumNanos += nanos;
+    }
+
+    private double meanMillis() {
+      return TrafficCounters.meanMillis(sumNanos, count);
+    }
+
+    private void reset() {
+      count = 0;
+      sumNanos = 0;
+    }
+  }
+
+  /** Completed attempts at one endpoint. */
+  static final class EndpointAttempts {
+    private int total;
+    private int notServed;
+
+    /** Attempts of any status. */
+    int total() {
+      return total;
+    }
+
+    /** Attempts with a status other than served. */
+    int notServed() {
+      return notServed;
     }
-    return text.toString();
-  }
-
-  private String worst() {
-    StringJoiner text = new StringJoiner(", ", "; not served: ", "").setEmptyValue("");
-    upstreams.entrySet().stream()
-        .filter(e -> e.getValue().unserved >= WORST_LEAST)
-        .sorted(Comparator.comparingInt(e -> -e.getValue().unserved))
-        .limit(WORST)
-        .forEach(
-            e ->
-                text.add(
-                    e.getValue().unserved + " of " + e.getValue().attempts + " at " + e.getKey()));
-    return text.toString();
   }
 }
