--- a/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
@@ -81,17 +81,17 @@
   }
 
   /** Nothing of a request has come that has no answer yet. */
-  public boolean idle() {
-    return untaken() && partSince == 0;
+  public boolean isIdle() {
+    return isAwaitingRequest() && partSince == 0;
   }
 
   /** No whole request has come that has no answer yet, and no last answer is on its way out. */
-  public boolean untaken() {
+  public boolean isAwaitingRequest() {
     return waiting == null && !discarding;
   }
 
   /** A connection on which nothing was ever asked in whole. */
-  boolean neverAsked() {
+  boolean isNeverUsed() {
     return idleOrPart() && answeredAt == 0;
   }
 
@@ -164,7 +164,7 @@
     if (dropped > MOST_DROPPED && waiting != null) {
       String id = waiting;
       write(400, "more than a request".getBytes(StandardCharsets.UTF_8), "text/plain", 0);
-      side.clientGone(id);
+      side.clientDisconnected(id);
     }
   }
 
@@ -234,15 +234,18 @@
     HttpRequest request = head;
     head = null;
     keepAlive = HttpUtil.isKeepAlive(request);
-    if (request.uri().equals("/up") || side.warmsUpAt(request.uri())) {
+    if (request.uri().equals("/up") || side.isWarmUpPath(request.uri())) {
       write(
-          side.ready() || side.warmsUpAt(request.uri()) ? 200 : 503, new byte[0], "text/plain", 0);
+          side.isReady() || side.isWarmUpPath(request.uri()) ? 200 : 503,
+          new byte[0],
+          "text/plain",
+          0);
       return;
     }
     try {
       ClientRequest taken = ClientRequest.of(request, body.toByteArray(), side.settings());
       waiting = taken.requestId();
-      if (!side.take(taken, this)) {
+      if (!side.submit(taken, this)) {
         waiting = null;
         throw new InvalidRequestException(409, "this id is open already");
       }
@@ -328,7 +331,7 @@
               HttpHeaderNames.RETRY_AFTER,
               BigDecimal.valueOf(retryAfterNanos / 1_000_000, 3).toPlainString());
     }
-    boolean last = !keepAlive || side.closing();
+    boolean last = !keepAlive || side.closesAfterResponse();
     if (last) {
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
@@ -347,7 +350,7 @@
     if (waiting != null) {
       String id = waiting;
       waiting = null;
-      side.clientGone(id);
+      side.clientDisconnected(id);
     }
   }
 
--- a/src/main/java/loadbalancer/proxy/downstream/ConnectionTimeouts.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ConnectionTimeouts.java
@@ -59,29 +59,29 @@
       long coming = c.comingFor(now);
       if (c.stuckFor(now) > STUCK_NANOS) {
         c.abort();
-      } else if (coming > REQUEST_NANOS || full() && c.neverAsked() && coming > SILENT_NANOS) {
+      } else if (coming > REQUEST_NANOS || full() && c.isNeverUsed() && coming > SILENT_NANOS) {
         c.expire();
-      } else if (c.idle() && c.idleFor(now) > longestIdle(c)) {
+      } else if (c.isIdle() && c.idleFor(now) > longestIdle(c)) {
         c.close();
       }
     }
     if (full()) {
       // Every one of them is busy or was so just now: the longest idle one gives way.
       side.connections().stream()
-          .filter(c -> c.idle() && !c.neverAsked())
+          .filter(c -> c.isIdle() && !c.isNeverUsed())
           .max(Comparator.comparingLong(c -> c.idleFor(now)))
           .ifPresent(ClientConnection::close);
     }
   }
 
   private long longestIdle(ClientConnection c) {
-    if (c.neverAsked()) {
+    if (c.isNeverUsed()) {
       return full() ? SILENT_NANOS : REQUEST_NANOS;
     }
-    return side.open() > most * MANY_PART ? IDLE_NANOS : IDLE_LONG_NANOS;
+    return side.openConnections() > most * MANY_PART ? IDLE_NANOS : IDLE_LONG_NANOS;
   }
 
   private boolean full() {
-    return side.open() >= most;
+    return side.openConnections() >= most;
   }
 }
--- a/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
@@ -105,12 +105,12 @@
     warmUpPath = null;
   }
 
-  boolean ready() {
+  boolean isReady() {
     return ready && !draining;
   }
 
   /** Whether each answer is its connection's last. */
-  boolean closing() {
+  boolean closesAfterResponse() {
     return closing;
   }
 
@@ -122,7 +122,7 @@
    * Whether this is where the balancer's own warm-up asks: nobody else knows the path, and it ends
    * with that.
    */
-  boolean warmsUpAt(String uri) {
+  boolean isWarmUpPath(String uri) {
     return uri.equals(warmUpPath);
   }
 
@@ -131,15 +131,15 @@
     return List.copyOf(connections);
   }
 
-  public int open() {
+  public int openConnections() {
     return connections.size();
   }
 
-  boolean take(ClientRequest request, DownstreamClient client) {
+  boolean submit(ClientRequest request, DownstreamClient client) {
     return core.take(request, client);
   }
 
-  void clientGone(String id) {
+  void clientDisconnected(String id) {
     core.clientGone(id);
   }
 
@@ -152,7 +152,7 @@
     connections.add(handler);
     if (connections.size() >= most) {
       connections.stream()
-          .filter(c -> c != handler && c.idle() && !c.neverAsked())
+          .filter(c -> c != handler && c.isIdle() && !c.isNeverUsed())
           .findFirst()
           .ifPresentOrElse(ClientConnection::close, () -> listener.config().setAutoRead(false));
     }
@@ -175,7 +175,7 @@
    * Begins a planned stop: the front is told to send no more clients; those that are here are
    * served on.
    */
-  public void drain() {
+  public void beginGracefulShutdown() {
     draining = true;
   }
 
@@ -189,10 +189,10 @@
    * request that has come in part is owed its answer once it is whole; so is the first one of a new
    * connection, which may be on its way.
    */
-  public void closeIdle() {
+  public void closeIdleConnections() {
     closing = true;
     connections().stream()
-        .filter(c -> c.idle() && !c.neverAsked())
+        .filter(c -> c.isIdle() && !c.isNeverUsed())
         .forEach(ClientConnection::close);
   }
 
@@ -200,12 +200,12 @@
    * Waits no longer for what has not come whole: a slow sender must not keep the process from its
    * end.
    */
-  public void endUntaken() {
+  public void endIncompleteRequests() {
     connections().stream()
-        .filter(ClientConnection::untaken)
+        .filter(ClientConnection::isAwaitingRequest)
         .forEach(
             c -> {
-              if (c.idle()) {
+              if (c.isIdle()) {
                 c.close();
               } else {
                 c.expire();
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
@@ -185,7 +185,7 @@
     loop.execute(
         () -> {
           EventLog.info(configuration.name() + " drains");
-          clients.drain();
+          clients.beginGracefulShutdown();
           long end =
               END_MILLIS
                   + Math.min(
@@ -198,13 +198,13 @@
           loop.schedule(clients::stopListening, ACCEPT_MILLIS, TimeUnit.MILLISECONDS);
           loop.schedule(
               this::endOnceIdle, Math.max(ACCEPT_MILLIS, end - LAST_MILLIS), TimeUnit.MILLISECONDS);
-          loop.schedule(clients::endUntaken, end, TimeUnit.MILLISECONDS);
+          loop.schedule(clients::endIncompleteRequests, end, TimeUnit.MILLISECONDS);
         });
   }
 
   private void endOnceIdle() {
-    clients.closeIdle();
-    if (clients.open() == 0) {
+    clients.closeIdleConnections();
+    if (clients.openConnections() == 0) {
       core.report();
       EventLog.info(configuration.name() + " has drained");
       drained.countDown();
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
@@ -152,7 +152,7 @@
       return;
     }
     for (EmbeddedChannel client : clients) {
-      if (client.pipeline().get(ClientConnection.class).idle()) {
+      if (client.pipeline().get(ClientConnection.class).isIdle()) {
         client.releaseOutbound();
         client.writeInbound(Unpooled.copiedBuffer(request(sent++), StandardCharsets.US_ASCII));
       }
--- a/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
+++ b/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
@@ -95,18 +95,20 @@
   }
 
   int open() {
-    return on(side::open);
+    return on(side::openConnections);
   }
 
   /** Connections on which a part of a request has come. */
   long inPart() {
-    return on(() -> side.connections().stream().filter(c -> c.untaken() && !c.idle()).count());
+    return on(
+        () ->
+            side.connections().stream().filter(c -> c.isAwaitingRequest() && !c.isIdle()).count());
   }
 
   void drain() {
     on(
         () -> {
-          side.drain();
+          side.beginGracefulShutdown();
           return null;
         });
   }
@@ -114,7 +116,7 @@
   void closeIdle() {
     on(
         () -> {
-          side.closeIdle();
+          side.closeIdleConnections();
           return null;
         });
   }
@@ -122,7 +124,7 @@
   void endUntaken() {
     on(
         () -> {
-          side.endUntaken();
+          side.endIncompleteRequests();
           return null;
         });
   }
