--- a/src/main/java/loadbalancer/simulator/ActionEncoder.java
+++ b/src/main/java/loadbalancer/simulator/ActionEncoder.java
@@ -16,73 +16,135 @@
 import loadbalancer.policy.action.SetTimer;
 import loadbalancer.policy.action.WatchEndpoints;
 
-/** Writes the module's actions in the wire's words. */
+/**
+ * Maps the policy's actions to the simulator's messages, with the wire's names: each is an object
+ * whose single key is the message's name and holds an object with its fields.
+ */
 final class ActionEncoder {
 
   private ActionEncoder() {}
 
-  /** Writes one action as an object with a single key. */
+  /**
+   * Writes one action as a message.
+   *
+   * @throws IOException if the generator's output fails
+   * @throws IllegalStateException for an action that has no message on the wire, which is a defect
+   */
   static void write(JsonGenerator out, Action action) throws IOException {
-    if (action instanceof ForwardAttempt a) {
-      open(out, "Deliver");
-      out.writeStringField("rid", a.requestId());
-      out.writeNumberField("patience-ns", a.timeoutNanos());
-      out.writeNumberField("upstream", a.endpointId());
-    } else if (action instanceof CancelAttempt a) {
-      open(out, "AbortAttempt");
-      out.writeStringField("rid", a.requestId());
-      out.writeNumberField("go", a.attempt());
-    } else if (action instanceof RejectRequest a) {
-      open(out, "Decline");
-      out.writeStringField("rid", a.requestId());
-      out.writeNumberField("not-before-for-ns", a.retryAfterNanos());
-    } else if (action instanceof FailRequest a) {
-      open(out, "DropRequest");
-      out.writeStringField("rid", a.requestId());
-    } else if (action instanceof SetTimer a) {
-      open(out, "SetTimer");
-      out.writeStringField("handle", a.timerId());
-      out.writeNumberField("fire-at-ns", a.fireAtNanos());
-    } else if (action instanceof WatchEndpoints a) {
-      open(out, "Observe");
-      out.writeBooleanField("enable", a.enabled());
+    if (action instanceof ForwardAttempt forward) {
+      writeForwardAttempt(out, forward);
+    } else if (action instanceof CancelAttempt cancel) {
+      writeCancelAttempt(out, cancel);
+    } else if (action instanceof RejectRequest reject) {
+      writeRejectRequest(out, reject);
+    } else if (action instanceof FailRequest fail) {
+      writeTextMessage(out, "DropRequest", "rid", fail.requestId());
+    } else if (action instanceof SetTimer timer) {
+      writeSetTimer(out, timer);
+    } else if (action instanceof WatchEndpoints watch) {
+      writeWatchEndpoints(out, watch);
     } else if (action instanceof FetchEndpoints) {
-      open(out, "Resolve");
-    } else if (action instanceof CheckHealth a) {
-      open(out, "SoundOut");
-      out.writeNumberField("upstream", a.endpointId());
-    } else if (action instanceof CloseIdleConnections a) {
-      open(out, "Release");
-      out.writeNumberField("upstream", a.endpointId());
-    } else if (action instanceof SendPeerMessage a) {
-      open(out, "BroadcastTo");
-      out.writeNumberField("recipient", a.receiver());
-      out.writeStringField("octets", Base64.getEncoder().encodeToString(a.payload()));
-    } else if (action instanceof LogMessage a) {
-      open(out, "Emit");
-      out.writeStringField("note-text", a.text());
+      startMessage(out, "Resolve");
+      endMessage(out);
+    } else if (action instanceof CheckHealth check) {
+      writeEndpointMessage(out, "SoundOut", check.endpointId());
+    } else if (action instanceof CloseIdleConnections close) {
+      writeEndpointMessage(out, "Release", close.endpointId());
+    } else if (action instanceof SendPeerMessage peerMessage) {
+      writeSendPeerMessage(out, peerMessage);
+    } else if (action instanceof LogMessage log) {
+      writeTextMessage(out, "Emit", "note-text", log.text());
+    } else {
+      throw new IllegalStateException("no message on the wire for action " + action);
     }
-    out.writeEndObject();
-    out.writeEndObject();
   }
 
-  /** Writes the report that an instance's decision code has failed. */
-  static void writeFault(JsonGenerator out, RuntimeException e) throws IOException {
-    open(out, "Fault");
-    StackTraceElement[] trace = e.getStackTrace();
-    out.writeStringField(
+  /**
+   * Writes the message that an instance's policy threw, with the place of the exception. The
+   * simulator ends the day with this text.
+   *
+   * @throws IOException if the generator's output fails
+   */
+  static void writeFault(JsonGenerator out, RuntimeException defect) throws IOException {
+    StackTraceElement[] trace = defect.getStackTrace();
+    String place = trace.length == 0 ? "unknown place" : trace[0].toString();
+    writeTextMessage(
+        out,
+        "Fault",
         "note-text",
-        e.getClass().getName()
-            + ": "
-            + e.getMessage()
-            + " at "
-            + (trace.length == 0 ? "unknown place" : trace[0].toString()));
-    out.writeEndObject();
-    out.writeEndObject();
+        defect.getClass().getName() + ": " + defect.getMessage() + " at " + place);
+  }
+
+  private static void writeForwardAttempt(JsonGenerator out, ForwardAttempt forward)
+      throws IOException {
+    startMessage(out, "Deliver");
+    out.writeStringField("rid", forward.requestId());
+    out.writeNumberField("patience-ns", forward.timeoutNanos());
+    out.writeNumberField("upstream", forward.endpointId());
+    endMessage(out);
+  }
+
+  private static void writeCancelAttempt(JsonGenerator out, CancelAttempt cancel)
+      throws IOException {
+    startMessage(out, "AbortAttempt");
+    out.writeStringField("rid", cancel.requestId());
+    out.writeNumberField("go", cancel.attempt());
+    endMessage(out);
+  }
+
+  private static void writeRejectRequest(JsonGenerator out, RejectRequest reject)
+      throws IOException {
+    startMessage(out, "Decline");
+    out.writeStringField("rid", reject.requestId());
+    out.writeNumberField("not-before-for-ns", reject.retryAfterNanos());
+    endMessage(out);
+  }
+
+  private static void writeSetTimer(JsonGenerator out, SetTimer timer) throws IOException {
+    startMessage(out, "SetTimer");
+    out.writeStringField("handle", timer.timerId());
+    out.writeNumberField("fire-at-ns", timer.fireAtNanos());
+    endMessage(out);
   }
 
-  private static void open(JsonGenerator out, String name) throws IOException {
+  private static void writeWatchEndpoints(JsonGenerator out, WatchEndpoints watch)
+      throws IOException {
+    startMessage(out, "Observe");
+    out.writeBooleanField("enable", watch.enabled());
+    endMessage(out);
+  }
+
+  private static void writeSendPeerMessage(JsonGenerator out, SendPeerMessage message)
+      throws IOException {
+    startMessage(out, "BroadcastTo");
+    out.writeNumberField("recipient", message.receiver());
+    out.writeStringField("octets", Base64.getEncoder().encodeToString(message.payload()));
+    endMessage(out);
+  }
+
+  /** Writes a message whose only field is a text. */
+  private static void writeTextMessage(JsonGenerator out, String name, String field, String text)
+      throws IOException {
+    startMessage(out, name);
+    out.writeStringField(field, text);
+    endMessage(out);
+  }
+
+  /** Writes a message whose only field is the endpoint that it concerns. */
+  private static void writeEndpointMessage(JsonGenerator out, String name, long endpointId)
+      throws IOException {
+    startMessage(out, name);
+    out.writeNumberField("upstream", endpointId);
+    endMessage(out);
+  }
+
+  private static void startMessage(JsonGenerator out, String name) throws IOException {
     out.writeStartObject();
     out.writeObjectFieldStart(name);
   }
+
+  private static void endMessage(JsonGenerator out) throws IOException {
+    out.writeEndObject();
+    out.writeEndObject();
+  }
 }
--- a/src/main/java/loadbalancer/simulator/EventDecoder.java
+++ b/src/main/java/loadbalancer/simulator/EventDecoder.java
@@ -19,7 +19,10 @@
 import loadbalancer.policy.event.ResponseStarted;
 import loadbalancer.policy.event.TimerFired;
 
-/** Maps the simulator's events, with the wire's field names, to the policy's events. */
+/**
+ * Maps the simulator's messages, with the wire's names, to the policy's events. Fields that no
+ * event has use for are skipped, as are unknown ones.
+ */
 final class EventDecoder {
 
   private static final Map<String, AttemptStatus> ATTEMPT_STATUSES =
@@ -47,12 +50,12 @@
   private EventDecoder() {}
 
   /**
-   * Decodes an event by its wire name; start and stop of an instance are not among these.
+   * Decodes a message by its name; start and stop of an instance are not among these.
    *
-   * @throws WireFormatException if the event is unknown or a field is malformed
+   * @throws WireFormatException if the message is unknown or a field is malformed
    */
-  static Event decode(String name, JsonObjectReader fields) {
-    return switch (name) {
+  static Event decode(String messageName, JsonObjectReader fields) {
+    return switch (messageName) {
       case "Topology" -> endpointListUpdate(fields);
       case "JobIn" -> requestArrived(fields);
       case "First" -> responseStarted(fields);
@@ -104,23 +107,26 @@
         fields.numbers("usage"));
   }
 
-  /** Sites without tenants leave the field out or write 0. */
+  /** The tenant, or null: deployments without tenants leave the field out or write 0. */
   private static String tenant(JsonObjectReader fields) {
     return fields.isZero("user-group") ? null : fields.text("user-group", null);
   }
 
   private static byte[] payload(JsonObjectReader fields) {
+    String encoded = fields.text("octets");
     try {
-      return Base64.getDecoder().decode(fields.text("octets"));
+      return Base64.getDecoder().decode(encoded);
     } catch (IllegalArgumentException malformed) {
-      throw new WireFormatException("field " + fields.path() + ".octets: expected base64");
+      throw new WireFormatException(
+          "field " + fields.path() + ".octets: expected base64, got \"" + encoded + "\"");
     }
   }
 
   private static EndpointListUpdate endpointListUpdate(JsonObjectReader fields) {
     EndpointListUpdate.Kind kind = fields.word("kind", UPDATE_KINDS);
     List<EndpointDescriptor> entries = new ArrayList<>();
-    if (kind != EndpointListUpdate.Kind.FAILED || fields.has("entries")) {
+    boolean mayLackEntries = kind == EndpointListUpdate.Kind.FAILED;
+    if (!mayLackEntries || fields.has("entries")) {
       for (JsonObjectReader entry : fields.objects("entries")) {
         entries.add(endpointDescriptor(entry));
       }
--- a/src/main/java/loadbalancer/simulator/SimulatorSession.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorSession.java
@@ -9,6 +9,7 @@
 import java.io.InputStream;
 import java.io.InputStreamReader;
 import java.io.OutputStream;
+import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
@@ -21,102 +22,138 @@
 import loadbalancer.policy.event.Event;
 
 /**
- * The conversation: a batch of events a line in, a line of actions out; one module instance for
- * each balancer.
+ * A session with the simulator: reads batches of events, one JSON object a line, and answers each
+ * with one line of actions. Holds one policy for each balancer; they share nothing but the batch's
+ * clock. Runs in the thread that calls {@link #run}.
  */
 public final class SimulatorSession {
 
+  private static final int BUFFER_BYTES = 1 << 16;
+
   private final JsonFactory json = new JsonFactory();
-  private final BufferedReader in;
-  private final OutputStream out;
-  private final Map<Long, LoadBalancingPolicy> instances = new HashMap<>();
+  private final BufferedReader batches;
+  private final OutputStream replies;
+  private final Map<Long, LoadBalancingPolicy> policyByBalancer = new HashMap<>();
 
-  public SimulatorSession(InputStream in, OutputStream out) {
-    this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
-    this.out = out;
+  /**
+   * Makes a session that has read nothing yet; it closes neither stream.
+   *
+   * @param batches where the simulator's batches come from, in UTF-8
+   * @param replies where the replies go, in UTF-8; flushed after each
+   */
+  public SimulatorSession(InputStream batches, OutputStream replies) {
+    this.batches =
+        new BufferedReader(new InputStreamReader(batches, StandardCharsets.UTF_8), BUFFER_BYTES);
+    this.replies = replies;
   }
 
-  /** Answers batches until the input ends. */
+  /**
+   * Answers batches until the input ends.
+   *
+   * @throws WireFormatException if a batch is malformed, with its line number; nothing is written
+   *     in answer to it
+   * @throws IOException if a stream fails
+   */
   public void run() throws IOException {
-    long line = 0;
-    ByteArrayOutputStream reply = new ByteArrayOutputStream(1 << 16);
-    for (String text = in.readLine(); text != null; text = in.readLine()) {
-      line++;
+    long lineNumber = 0;
+    ByteArrayOutputStream reply = new ByteArrayOutputStream(BUFFER_BYTES);
+    for (String line = batches.readLine(); line != null; line = batches.readLine()) {
+      lineNumber++;
       reply.reset();
-      try (JsonGenerator generator = json.createGenerator(reply)) {
-        answer(JsonObjectReader.parse("batch", text), generator);
+      try (JsonGenerator out = json.createGenerator(reply)) {
+        answerBatch(JsonObjectReader.parse("batch", line), out);
       } catch (JsonProcessingException e) {
-        throw new WireFormatException("line " + line + ": not JSON: " + e.getOriginalMessage());
+        throw new WireFormatException(
+            "line " + lineNumber + ": not JSON: " + e.getOriginalMessage());
       } catch (WireFormatException | IllegalArgumentException e) {
-        throw new WireFormatException("line " + line + ": " + e.getMessage());
+        throw new WireFormatException("line " + lineNumber + ": " + e.getMessage());
       }
       reply.write('\n');
-      reply.writeTo(out);
-      out.flush();
+      reply.writeTo(replies);
+      replies.flush();
     }
   }
 
-  private void answer(JsonObjectReader batch, JsonGenerator generator) throws IOException {
-    long now = batch.integer("clock-ns");
-    generator.writeStartObject();
-    generator.writeArrayFieldStart("groups");
+  private void answerBatch(JsonObjectReader batch, JsonGenerator out) throws IOException {
+    long nowNanos = batch.integer("clock-ns");
+    out.writeStartObject();
+    out.writeArrayFieldStart("groups");
     for (JsonObjectReader group : batch.objects("groups")) {
-      long id = group.integer("balancer");
-      generator.writeStartObject();
-      generator.writeNumberField("balancer", id);
-      generator.writeArrayFieldStart("actions");
-      for (JsonObjectReader message : group.objects("msgs")) {
-        handle(now, id, message, generator);
-      }
-      generator.writeEndArray();
-      generator.writeEndObject();
+      answerGroup(nowNanos, group, out);
     }
-    generator.writeEndArray();
-    generator.writeEndObject();
+    out.writeEndArray();
+    out.writeEndObject();
   }
 
-  private void handle(long now, long id, JsonObjectReader message, JsonGenerator generator)
+  /** Answers the messages of one balancer in a batch. */
+  private void answerGroup(long nowNanos, JsonObjectReader group, JsonGenerator out)
       throws IOException {
-    if (message.values().size() != 1) {
-      throw new WireFormatException(
-          "field " + message.path() + ": expected one event, got " + message.values().size());
+    long balancer = group.integer("balancer");
+    out.writeStartObject();
+    out.writeNumberField("balancer", balancer);
+    out.writeArrayFieldStart("actions");
+    for (JsonObjectReader message : group.objects("msgs")) {
+      handleMessage(nowNanos, balancer, message, out);
     }
-    String name = (String) message.values().keySet().iterator().next();
-    JsonObjectReader f =
+    out.writeEndArray();
+    out.writeEndObject();
+  }
+
+  private void handleMessage(
+      long nowNanos, long balancer, JsonObjectReader message, JsonGenerator out)
+      throws IOException {
+    String name = messageName(message);
+    JsonObjectReader fields =
         JsonObjectReader.object(message.path() + "." + name, message.values().get(name));
     if (name.equals("Provision")) {
-      if (!f.has("boot-info")) {
-        throw new WireFormatException(
-            "field " + f.path() + ".boot-info: expected an object, got nothing");
-      }
-      instances.put(
-          id,
-          new AdaptiveLoadBalancingPolicy(
-              PolicySettingsReader.read(f.nested("boot-info")), f.integer("seed")));
+      policyByBalancer.put(balancer, provision(fields));
       return;
     }
-    LoadBalancingPolicy instance = instances.get(id);
-    if (instance == null) {
+    LoadBalancingPolicy policy = policyByBalancer.get(balancer);
+    if (policy == null) {
       throw new WireFormatException(
-          "field " + f.path() + ": balancer " + id + " was never provisioned");
+          "field " + fields.path() + ": balancer " + balancer + " was never provisioned");
     }
     if (name.equals("Kill")) {
-      instances.remove(id);
+      policyByBalancer.remove(balancer);
       return;
     }
-    Event event = EventDecoder.decode(name, f);
+    handleEvent(policy, nowNanos, EventDecoder.decode(name, fields), out);
+  }
+
+  private static String messageName(JsonObjectReader message) {
+    if (message.values().size() != 1) {
+      throw new WireFormatException(
+          "field " + message.path() + ": expected one event, got " + message.values().size());
+    }
+    return (String) message.values().keySet().iterator().next();
+  }
+
+  private static LoadBalancingPolicy provision(JsonObjectReader fields) {
+    if (!fields.has("boot-info")) {
+      throw new WireFormatException(
+          "field " + fields.path() + ".boot-info: expected an object, got nothing");
+    }
+    return new AdaptiveLoadBalancingPolicy(
+        PolicySettingsReader.read(fields.nested("boot-info")), fields.integer("seed"));
+  }
+
+  /** Writes the policy's actions, or the fault message where it throws: that is a defect of it. */
+  private static void handleEvent(
+      LoadBalancingPolicy policy, long nowNanos, Event event, JsonGenerator out)
+      throws IOException {
     try {
-      instance.handle(now, event, action -> write(generator, action));
+      policy.handle(nowNanos, event, action -> writeAction(out, action));
     } catch (RuntimeException e) {
-      ActionEncoder.writeFault(generator, e);
+      ActionEncoder.writeFault(out, e);
     }
   }
 
-  private static void write(JsonGenerator generator, Action action) {
+  private static void writeAction(JsonGenerator out, Action action) {
     try {
-      ActionEncoder.write(generator, action);
+      ActionEncoder.write(out, action);
     } catch (IOException e) {
-      throw new java.io.UncheckedIOException(e);
+      throw new UncheckedIOException(e);
     }
   }
 }
--- a/src/test/java/loadbalancer/CommandLineTest.java
+++ b/src/test/java/loadbalancer/CommandLineTest.java
@@ -17,7 +17,7 @@
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
   private int run(String input, String... args) throws IOException {
-    return CommandLine.run(
+    return CommandLine.runAdapter(
         args,
         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
         new PrintStream(out),
