--- a/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
@@ -37,20 +37,20 @@
 
   /** Whether a refusal's promise, that trying again is harmless, would be true. */
   boolean mayRefuse() {
-    return request.type().effect() == RequestEffect.IDEMPOTENT
+    return request.requestClass().effect() == RequestEffect.IDEMPOTENT
         || !mayHaveRun()
-        || request.type().effect() == RequestEffect.IDEMPOTENT_WITH_KEY
-            && request.type().deduplicationScope() == DeduplicationScope.ALL;
+        || request.requestClass().effect() == RequestEffect.IDEMPOTENT_WITH_KEY
+            && request.requestClass().deduplicationScope() == DeduplicationScope.ALL;
   }
 
   /** Whether what an earlier attempt may have done is still remembered by its upstream's group. */
   boolean repeatIsHarmless(long now) {
-    return request.type().effect() == RequestEffect.IDEMPOTENT
+    return request.requestClass().effect() == RequestEffect.IDEMPOTENT
         || attempts.stream()
             .filter(UpstreamAttempt::mayHaveRun)
             .allMatch(
                 a ->
-                    request.type().effect() == RequestEffect.IDEMPOTENT_WITH_KEY
-                        && now - a.sentAt() < request.type().deduplicationWindowNanos());
+                    request.requestClass().effect() == RequestEffect.IDEMPOTENT_WITH_KEY
+                        && now - a.sentAt() < request.requestClass().deduplicationWindowNanos());
   }
 }
--- a/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
@@ -117,7 +117,9 @@
     long now = clock.now();
     long left =
         Math.max(
-            0, Math.min(request.leftNanos() - answerMargin(request.leftNanos()), endsAt - now));
+            0,
+            Math.min(
+                request.timeLeftNanos() - answerMargin(request.timeLeftNanos()), endsAt - now));
     OpenRequest r = new OpenRequest(request, client, now + left);
     if (table.putIfAbsent(request.requestId(), r) != null) {
       return false;
@@ -127,12 +129,12 @@
     tell(
         new RequestArrived(
             request.requestId(),
-            request.type().name(),
+            request.requestClass().name(),
             request.tenant(),
-            request.key(),
+            request.affinityKey(),
             r.deadline,
-            request.hintNanos(),
-            request.clientRetry()));
+            request.workHintNanos(),
+            request.isClientRetry()));
     return true;
   }
 
--- a/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
@@ -200,7 +200,7 @@
     }
     if (message instanceof HttpContent part && head != null) {
       part.content().readBytes(body, part.content().readableBytes());
-      if (body.size() > UpstreamResponse.MAX_BODY) {
+      if (body.size() > UpstreamResponse.MAX_BODY_BYTES) {
         reject(413, "body over 64 KiB");
       } else if (message instanceof LastHttpContent) {
         whole();
@@ -243,7 +243,7 @@
       return;
     }
     try {
-      ClientRequest taken = ClientRequest.of(request, body.toByteArray(), side.settings());
+      ClientRequest taken = side.requestParser().parse(request, body.toByteArray());
       waiting = taken.requestId();
       if (!side.submit(taken, this)) {
         waiting = null;
--- a/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
@@ -38,6 +38,7 @@
 
   private final EventLoop loop;
   private final PolicySettings settings;
+  private final ClientRequestParser requestParser;
   private final RequestCoordinator core;
   private final int most;
 
@@ -62,6 +63,7 @@
       String warmUpPath) {
     this.loop = loop;
     this.settings = settings;
+    requestParser = new ClientRequestParser(settings);
     this.core = core;
     this.most = most;
     this.warmUpPath = warmUpPath;
@@ -114,6 +116,10 @@
     return closing;
   }
 
+  ClientRequestParser requestParser() {
+    return requestParser;
+  }
+
   public PolicySettings settings() {
     return settings;
   }
--- a/src/main/java/loadbalancer/proxy/downstream/RequestHeadValidator.java
+++ b/src/main/java/loadbalancer/proxy/downstream/RequestHeadValidator.java
@@ -28,7 +28,7 @@
             && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
       throw new InvalidRequestException(400, "more than one way to tell where the body ends");
     }
-    if (HttpUtil.getContentLength(head, 0L) > UpstreamResponse.MAX_BODY) {
+    if (HttpUtil.getContentLength(head, 0L) > UpstreamResponse.MAX_BODY_BYTES) {
       throw new InvalidRequestException(413, "body over 64 KiB");
     }
   }
--- a/src/main/java/loadbalancer/proxy/http/UpstreamResponse.java
+++ b/src/main/java/loadbalancer/proxy/http/UpstreamResponse.java
@@ -1,8 +1,13 @@
 package loadbalancer.proxy.http;
 
-/** The body of an upstream's answer, and its type or null. */
+/**
+ * The part of an upstream's response that is passed on to the client.
+ *
+ * @param body the complete body, at most {@link #MAX_BODY_BYTES} long; not to be modified
+ * @param contentType the {@code Content-Type} header, or null
+ */
 public record UpstreamResponse(byte[] body, String contentType) {
 
-  /** The protocol's limit; a body beyond it is malformed. */
-  public static final int MAX_BODY = 64 << 10;
+  /** The protocol's limit on the body of a request or a response; a longer one is malformed. */
+  public static final int MAX_BODY_BYTES = 64 << 10;
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
@@ -23,7 +23,7 @@
 import loadbalancer.proxy.downstream.ClientConnection;
 import loadbalancer.proxy.downstream.DownstreamServer;
 import loadbalancer.proxy.downstream.RequestDecoder;
-import loadbalancer.proxy.http.ClientRequest;
+import loadbalancer.proxy.http.RequestHeaders;
 import loadbalancer.proxy.telemetry.EventLog;
 import loadbalancer.proxy.telemetry.EventLoopLag;
 import loadbalancer.proxy.transport.EpochClock;
@@ -165,7 +165,7 @@
     return "GET "
         + path
         + " HTTP/1.1\r\nHost: warm-up\r\n"
-        + ClientRequest.ID
+        + RequestHeaders.CORRELATION_ID
         + ": warm-up-"
         + number
         + "\r\nX-Service-Class: "
@@ -174,7 +174,7 @@
         + number % KEYS
         + (tenants.isEmpty() ? "" : "\r\nX-Account: " + tenants.get(number % tenants.size()).name())
         + "\r\n"
-        + ClientRequest.TIME_LEFT
+        + RequestHeaders.TIME_LEFT_MILLIS
         + ": 1000\r\nX-Weight-Hint: 1000\r\n\r\n";
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseHeadValidator.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseHeadValidator.java
@@ -42,7 +42,7 @@
           && !HttpUtil.isContentLengthSet(head);
     }
     return HttpUtil.isContentLengthSet(head)
-        && HttpUtil.getContentLength(head) <= UpstreamResponse.MAX_BODY;
+        && HttpUtil.getContentLength(head) <= UpstreamResponse.MAX_BODY_BYTES;
   }
 
   /** Only X-Unprocessed proves that a request never ran; a bare 503 may stand for one that did. */
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
@@ -13,6 +13,8 @@
 import java.util.function.BooleanSupplier;
 import loadbalancer.policy.event.AttemptStatus;
 import loadbalancer.proxy.http.ClientRequest;
+import loadbalancer.proxy.http.RequestHeaders;
+import loadbalancer.proxy.http.RequestMessage;
 import loadbalancer.proxy.http.UpstreamResponse;
 import loadbalancer.proxy.transport.EpochClock;
 
@@ -112,23 +114,24 @@
   }
 
   private FullHttpRequest message(ClientRequest request, long leftMillis) {
+    RequestMessage received = request.message();
     FullHttpRequest message =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
-            request.method(),
-            request.uri(),
-            Unpooled.wrappedBuffer(request.body()));
+            received.method(),
+            received.uri(),
+            Unpooled.wrappedBuffer(received.body()));
     message
         .headers()
-        .set(HttpHeaderNames.HOST, request.host())
-        .set(ClientRequest.ID, request.requestId())
-        .set(ClientRequest.TIME_LEFT, leftMillis)
-        .set(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
-    if (request.idempotencyKey() != null) {
-      message.headers().set(ClientRequest.IDEMPOTENCY_KEY, request.idempotencyKey());
+        .set(HttpHeaderNames.HOST, received.host())
+        .set(RequestHeaders.CORRELATION_ID, request.requestId())
+        .set(RequestHeaders.TIME_LEFT_MILLIS, leftMillis)
+        .set(HttpHeaderNames.CONTENT_LENGTH, received.body().length);
+    if (received.idempotencyKey() != null) {
+      message.headers().set(RequestHeaders.IDEMPOTENCY_KEY, received.idempotencyKey());
     }
-    if (request.contentType() != null) {
-      message.headers().set(HttpHeaderNames.CONTENT_TYPE, request.contentType());
+    if (received.contentType() != null) {
+      message.headers().set(HttpHeaderNames.CONTENT_TYPE, received.contentType());
     }
     return message;
   }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -138,7 +138,7 @@
     }
     if (message instanceof HttpContent part && response != null && !interim() && !surplus) {
       part.content().readBytes(body, part.content().readableBytes());
-      surplus = body.size() > UpstreamResponse.MAX_BODY;
+      surplus = body.size() > UpstreamResponse.MAX_BODY_BYTES;
       whole = !surplus && message instanceof LastHttpContent;
     }
   }
--- a/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
@@ -7,6 +7,7 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
+import io.netty.handler.codec.http.HttpMethod;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -43,6 +44,7 @@
 import loadbalancer.proxy.FakeUpstream;
 import loadbalancer.proxy.TestProxy;
 import loadbalancer.proxy.http.ClientRequest;
+import loadbalancer.proxy.http.RequestMessage;
 import loadbalancer.proxy.http.UpstreamResponse;
 import loadbalancer.proxy.telemetry.EventLoopLag;
 import loadbalancer.proxy.transport.EpochClock;
@@ -153,12 +155,7 @@
             leftMillis * 1_000_000,
             0,
             false,
-            io.netty.handler.codec.http.HttpMethod.GET,
-            "/" + type,
-            "h",
-            null,
-            null,
-            new byte[bodyBytes]);
+            new RequestMessage(HttpMethod.GET, "/" + type, "h", null, null, new byte[bodyBytes]));
     assertTrue(
         loop.submit(
                 () -> {
@@ -371,7 +368,7 @@
                               new EndpointList.Host(
                                   (InetSocketAddress) upstream.getLocalSocketAddress(), listed)))))
           .get();
-      take("1", "order", 15_000, UpstreamResponse.MAX_BODY, () -> {});
+      take("1", "order", 15_000, UpstreamResponse.MAX_BODY_BYTES, () -> {});
       try (Socket connection = upstream.accept()) {
         InputStream in = connection.getInputStream();
         int read = in.readNBytes(1).length;
@@ -381,7 +378,7 @@
         } catch (IOException e) {
           // A reset: the rest is lost, as it has to be.
         }
-        assertTrue(read < UpstreamResponse.MAX_BODY, "bytes that arrived: " + read);
+        assertTrue(read < UpstreamResponse.MAX_BODY_BYTES, "bytes that arrived: " + read);
       }
     }
   }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolsTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolsTest.java
@@ -19,6 +19,7 @@
 import loadbalancer.proxy.FakeUpstream;
 import loadbalancer.proxy.TestProxy;
 import loadbalancer.proxy.http.ClientRequest;
+import loadbalancer.proxy.http.RequestMessage;
 import loadbalancer.proxy.transport.EpochClock;
 import loadbalancer.proxy.transport.PeekableSocketChannel;
 import org.junit.jupiter.api.AfterEach;
@@ -56,12 +57,7 @@
             LONG,
             0,
             false,
-            HttpMethod.GET,
-            "/look",
-            "h",
-            null,
-            null,
-            new byte[0]);
+            new RequestMessage(HttpMethod.GET, "/look", "h", null, null, new byte[0]));
     new UpstreamAttempt(0, 1, 0, pool, ending)
         .start(request, LONG, () -> maySend, new EpochClock(), loop);
   }
