--- a/src/test/java/loadbalancer/proxy/AttemptOutcomeTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptOutcomeTest.java
@@ -18,24 +18,24 @@
   private static final int REFUSED = 429;
   private static final int FAILED = 502;
 
-  private static Arguments row(String name, int status, FakeUpstream.Behaviour behaviour) {
+  private static Arguments row(String name, int status, FakeHttpServer.RequestHandler behaviour) {
     return Arguments.of(name, status, behaviour);
   }
 
-  private static FakeUpstream.Behaviour says(String answer) {
-    return (request, connection, out) -> FakeUpstream.write(out, answer);
+  private static FakeHttpServer.RequestHandler says(String answer) {
+    return (request, connection, out) -> FakeHttpServer.write(out, answer);
   }
 
-  private static FakeUpstream.Behaviour saysAndEnds(String answer) {
+  private static FakeHttpServer.RequestHandler saysAndEnds(String answer) {
     return (request, connection, out) -> {
-      FakeUpstream.write(out, answer);
+      FakeHttpServer.write(out, answer);
       connection.close();
     };
   }
 
   static Stream<Arguments> behaviours() {
     return Stream.of(
-        row("whole answer", 200, says(FakeUpstream.ok("fine"))),
+        row("whole answer", 200, says(FakeHttpServer.okResponse("fine"))),
         row(
             "chunked answer",
             200,
@@ -43,11 +43,11 @@
         row(
             "after an interim answer",
             200,
-            says("HTTP/1.1 100 Continue\r\n\r\n" + FakeUpstream.ok("fine"))),
+            says("HTTP/1.1 100 Continue\r\n\r\n" + FakeHttpServer.okResponse("fine"))),
         row(
             "no reason given",
             200,
-            says("HTTP/1.1 103 \r\n\r\n" + FakeUpstream.ok("fine").replace(" OK", " "))),
+            says("HTTP/1.1 103 \r\n\r\n" + FakeHttpServer.okResponse("fine").replace(" OK", " "))),
         row("error", FAILED, says("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")),
         row(
             "turned away",
@@ -77,17 +77,17 @@
             saysAndEnds("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n")),
         row("no length", FAILED, saysAndEnds("HTTP/1.1 200 OK\r\n\r\nfine")),
         row("malformed", FAILED, says("nonsense\r\n\r\n")),
-        row("too large", FAILED, says(FakeUpstream.ok("x".repeat(70_000)))));
+        row("too large", FAILED, says(FakeHttpServer.okResponse("x".repeat(70_000)))));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("behaviours")
-  void clientIsToldTheTruth(String name, int status, FakeUpstream.Behaviour behaviour)
+  void clientIsToldTheTruth(String name, int status, FakeHttpServer.RequestHandler behaviour)
       throws Exception {
-    try (FakeUpstream upstream = new FakeUpstream(behaviour)) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+    try (FakeHttpServer upstream = new FakeHttpServer(behaviour)) {
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
-        TestClient.Reply reply = client.call(TestClient.order("1", 15_000));
+        TestClient.Response reply = client.exchange(TestClient.keyedRequest("1", 15_000));
         assertEquals(status, reply.status());
         assertEquals(status == 200 ? "fine" : "", reply.body());
         assertEquals(status == REFUSED, reply.head().contains("retry-after: "));
@@ -98,25 +98,25 @@
 
   @Test
   void upstreamThatIsNotThereIsARefusal() throws Exception {
-    FakeUpstream upstream = FakeUpstream.serving("fine");
+    FakeHttpServer upstream = FakeHttpServer.respondingWith("fine");
     upstream.close();
-    TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+    TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
     try (TestClient client = new TestClient(node.address)) {
-      assertEquals(REFUSED, client.call(TestClient.order("1", 15_000)).status());
+      assertEquals(REFUSED, client.exchange(TestClient.keyedRequest("1", 15_000)).status());
     }
   }
 
   @Test
   void silentUpstreamIsAFailureAndItsConnectionsAreNotUsedAgain() throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
-        assertEquals(200, client.call(TestClient.order("1", 15_000)).status());
-        upstream.behaviour = (request, connection, out) -> {};
-        assertEquals(FAILED, client.call(TestClient.order("2", 1_000)).status());
-        TestProxy.until(() -> upstream.closedByPeer.get() == 1);
-        upstream.behaviour = says(FakeUpstream.ok("fine"));
-        assertEquals(200, client.call(TestClient.order("3", 15_000)).status());
+        assertEquals(200, client.exchange(TestClient.keyedRequest("1", 15_000)).status());
+        upstream.requestHandler = (request, connection, out) -> {};
+        assertEquals(FAILED, client.exchange(TestClient.keyedRequest("2", 1_000)).status());
+        TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
+        upstream.requestHandler = says(FakeHttpServer.okResponse("fine"));
+        assertEquals(200, client.exchange(TestClient.keyedRequest("3", 15_000)).status());
         assertEquals(2, upstream.connections.size());
       }
     }
@@ -124,11 +124,11 @@
 
   @Test
   void requestGoesOnUnchangedAndItsConnectionIsUsedAgain() throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
-        client.call(TestClient.order("1", 15_000));
-        client.call(TestClient.look("2", 15_000, ""));
+        client.exchange(TestClient.keyedRequest("1", 15_000));
+        client.exchange(TestClient.idempotentRequest("2", 15_000, ""));
       }
       String first = upstream.requests.get(0).toLowerCase();
       assertTrue(first.startsWith("post /order http/1.1\n"), first);
@@ -145,18 +145,18 @@
 
   @Test
   void connectionThatThePeerClosedIsNotWrittenTo() throws Exception {
-    try (FakeUpstream upstream =
-        new FakeUpstream(
+    try (FakeHttpServer upstream =
+        new FakeHttpServer(
             (request, connection, out) -> {
-              FakeUpstream.write(out, FakeUpstream.ok("fine"));
+              FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
               connection.shutdownOutput();
             })) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         for (int i = 1; i <= 3; i++) {
           int calls = i;
-          assertEquals(200, client.call(TestClient.order("o" + i, 15_000)).status());
-          TestProxy.until(() -> upstream.closedByPeer.get() == calls);
+          assertEquals(200, client.exchange(TestClient.keyedRequest("o" + i, 15_000)).status());
+          TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == calls);
           assertEquals(calls, upstream.connections.size());
         }
       }
@@ -165,13 +165,13 @@
 
   @Test
   void clientThatLeavesEndsItsAttempt() throws Exception {
-    try (FakeUpstream upstream = new FakeUpstream((request, connection, out) -> {})) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+    try (FakeHttpServer upstream = new FakeHttpServer((request, connection, out) -> {})) {
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
-        client.send(TestClient.order("1", 15_000));
-        TestProxy.until(() -> upstream.requests.size() == 1);
+        client.send(TestClient.keyedRequest("1", 15_000));
+        TestProxy.waitUntil(() -> upstream.requests.size() == 1);
       }
-      TestProxy.until(() -> upstream.closedByPeer.get() == 1);
+      TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/ClientConnectionLimitsTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientConnectionLimitsTest.java
@@ -22,13 +22,13 @@
  */
 class ClientConnectionLimitsTest {
 
-  private static final String ORDER = TestClient.order("1", 15_000);
+  private static final String ORDER = TestClient.keyedRequest("1", 15_000);
 
   @Test
   void silentConnectionIsEnded() throws Exception {
-    TestProxy node = new TestProxy(TestProxy.nowhere(), 1);
+    TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1);
     try (TestClient silent = new TestClient(node.address)) {
-      assertTrue(silent.ended());
+      assertTrue(silent.isClosedByServer());
     }
   }
 
@@ -45,11 +45,11 @@
   @ParameterizedTest
   @MethodSource("unfinished")
   void requestThatNeverEndsIsAnswered408AndEnded(String part) throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
-        assertEquals(408, client.call(part).status());
-        assertTrue(client.ended());
+        assertEquals(408, client.exchange(part).status());
+        assertTrue(client.isClosedByServer());
         assertEquals(0, upstream.requests.size());
       }
     }
@@ -63,7 +63,7 @@
    * With what is hidden in the body: each must be refused as a whole, and nothing of it passed on.
    */
   static Stream<Arguments> smuggled() {
-    String hidden = "0\r\n\r\n" + TestClient.look("2", 15_000, "");
+    String hidden = "0\r\n\r\n" + TestClient.idempotentRequest("2", 15_000, "");
     String both = "Content-Length: " + hidden.length() + "\r\nTransfer-Encoding: ";
     return Stream.of(
         row(400, "Content-Length: 4\r\n\r\nbody", both + "chunked\r\n\r\n" + hidden),
@@ -92,13 +92,13 @@
   @ParameterizedTest
   @MethodSource("smuggled")
   void framingThatCanBeReadInTwoWaysIsRefusedAndEnded(int status, String request) throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address);
           TestClient next = new TestClient(node.address)) {
-        assertEquals(status, client.call(request).status());
-        assertTrue(client.ended());
-        assertEquals(200, next.call(TestClient.look("3", 15_000, "")).status());
+        assertEquals(status, client.exchange(request).status());
+        assertTrue(client.isClosedByServer());
+        assertEquals(200, next.exchange(TestClient.idempotentRequest("3", 15_000, "")).status());
         assertEquals(1, upstream.requests.size(), "nothing of it went on");
       }
     }
@@ -117,10 +117,11 @@
   @ParameterizedTest
   @MethodSource("repeated")
   void repeatedProtocolHeaderIsRefused(String header) throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
-        assertEquals(400, client.call(ORDER.replace("Host: h", "Host: h\r\n" + header)).status());
+        assertEquals(
+            400, client.exchange(ORDER.replace("Host: h", "Host: h\r\n" + header)).status());
         assertEquals(0, upstream.requests.size());
       }
     }
@@ -128,13 +129,16 @@
 
   @Test
   void clientToldOfItsMistakeIsSlowedAndStillServed() throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals(
-            400, client.call(TestClient.look("1", 15_000, "").replace("acme", "nobody")).status());
+            400,
+            client
+                .exchange(TestClient.idempotentRequest("1", 15_000, "").replace("acme", "nobody"))
+                .status());
         long told = System.nanoTime();
-        assertEquals(200, client.call(TestClient.look("2", 15_000, "")).status());
+        assertEquals(200, client.exchange(TestClient.idempotentRequest("2", 15_000, "")).status());
         assertTrue(System.nanoTime() - told > 300_000_000L, "not at full speed");
       }
     }
@@ -142,17 +146,17 @@
 
   @Test
   void silentConnectionsAtTheLimitGiveWayToOneThatAsks() throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestProxy node =
           new TestProxy(
-              TestProxy.json(TestProxy.nowhere(), 1, upstream)
+              TestProxy.configurationJson(TestProxy.unreachableAddress(), 1, upstream)
                   .replace("\"sockets\":1024", "\"sockets\":20"));
       List<TestClient> silent = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
         silent.add(new TestClient(node.address));
       }
       try (TestClient client = new TestClient(node.address)) {
-        assertEquals(200, client.call(TestClient.look("1", 15_000, "")).status());
+        assertEquals(200, client.exchange(TestClient.idempotentRequest("1", 15_000, "")).status());
       }
       for (TestClient s : silent) {
         s.close();
@@ -162,24 +166,24 @@
 
   @Test
   void clientThatSentTooMuchIsSeenToLeave() throws Exception {
-    try (FakeUpstream upstream = new FakeUpstream((request, connection, out) -> {})) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+    try (FakeHttpServer upstream = new FakeHttpServer((request, connection, out) -> {})) {
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
-        client.send(TestClient.look("1", 15_000, ""));
-        TestProxy.until(() -> upstream.requests.size() == 1);
-        client.send(TestClient.look("2", 15_000, ""));
+        client.send(TestClient.idempotentRequest("1", 15_000, ""));
+        TestProxy.waitUntil(() -> upstream.requests.size() == 1);
+        client.send(TestClient.idempotentRequest("2", 15_000, ""));
       }
       long start = System.nanoTime();
-      TestProxy.until(() -> upstream.closedByPeer.get() == 1);
+      TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
       assertTrue(System.nanoTime() - start < 14_000_000_000L, "before the request's time was up");
     }
   }
 
   @Test
   void warmUpIsAnsweredToNobodyElse() throws Exception {
-    TestProxy node = new TestProxy(TestProxy.nowhere(), 1);
+    TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1);
     try (TestClient client = new TestClient(node.address)) {
-      assertEquals(400, client.call("GET /live HTTP/1.1\r\nHost: h\r\n\r\n").status());
+      assertEquals(400, client.exchange("GET /live HTTP/1.1\r\nHost: h\r\n\r\n").status());
     }
   }
 
@@ -194,21 +198,21 @@
     try {
       TestDownstreamServer side = new TestDownstreamServer(loop, event -> {});
       CountDownLatch behind = new CountDownLatch(1);
-      loop.execute(() -> TestProxy.await(behind));
-      for (int i = 0; i < 2 * TestDownstreamServer.MOST; i++) {
+      loop.execute(() -> TestProxy.awaitUninterruptibly(behind));
+      for (int i = 0; i < 2 * TestDownstreamServer.MAX_CONNECTIONS; i++) {
         crowd.add(new TestClient(side.address));
       }
       behind.countDown();
       int[] most = {0};
-      TestProxy.until(
+      TestProxy.waitUntil(
           () -> {
-            most[0] = Math.max(most[0], side.open());
-            return most[0] >= TestDownstreamServer.MOST;
+            most[0] = Math.max(most[0], side.openConnections());
+            return most[0] >= TestDownstreamServer.MAX_CONNECTIONS;
           });
       for (int i = 0; i < 1_000; i++) {
-        most[0] = Math.max(most[0], side.open());
+        most[0] = Math.max(most[0], side.openConnections());
       }
-      assertEquals(TestDownstreamServer.MOST, most[0]);
+      assertEquals(TestDownstreamServer.MAX_CONNECTIONS, most[0]);
     } finally {
       for (TestClient client : crowd) {
         client.close();
--- a/src/test/java/loadbalancer/proxy/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientDisconnectTest.java
@@ -54,7 +54,7 @@
   /** What is done on the loop ahead of a request's decision. */
   private volatile Runnable onRequest = () -> {};
 
-  private TestDownstreamServer start(FakeUpstream... upstreams) throws Exception {
+  private TestDownstreamServer start(FakeHttpServer... upstreams) throws Exception {
     return start(true, upstreams);
   }
 
@@ -62,7 +62,8 @@
    * Requests wait in the module for as long as their clients do: one that was refused would prove
    * nothing.
    */
-  private TestDownstreamServer start(boolean cancels, FakeUpstream... upstreams) throws Exception {
+  private TestDownstreamServer start(boolean cancels, FakeHttpServer... upstreams)
+      throws Exception {
     return new TestDownstreamServer(
         loop,
         event -> {
@@ -99,7 +100,7 @@
                         reset),
                     Arguments.of(
                         "another request in one piece with it",
-                        TestClient.look("2", LEFT_MILLIS, ""),
+                        TestClient.idempotentRequest("2", LEFT_MILLIS, ""),
                         "",
                         reset),
                     Arguments.of("part of another request", "", "GET /look", reset),
@@ -110,31 +111,31 @@
   @MethodSource("behind")
   void leavingIsSeenWhateverComesBehindTheRequest(
       String name, String at, String later, boolean reset) throws Exception {
-    try (FakeUpstream upstream = new FakeUpstream((request, connection, out) -> {})) {
+    try (FakeHttpServer upstream = new FakeHttpServer((request, connection, out) -> {})) {
       TestDownstreamServer side = start(upstream);
       try (TestClient client = new TestClient(side.address)) {
-        client.send(TestClient.look("1", LEFT_MILLIS, "") + at);
-        TestProxy.until(() -> upstream.requests.size() == 1);
-        client.send(later).leave(reset);
+        client.send(TestClient.idempotentRequest("1", LEFT_MILLIS, "") + at);
+        TestProxy.waitUntil(() -> upstream.requests.size() == 1);
+        client.send(later).disconnect(reset);
       }
       assertInstanceOf(
           ClientDisconnected.class, ends.poll(30, TimeUnit.SECONDS), "its time was not up");
-      TestProxy.until(() -> upstream.closedByPeer.get() == 1);
+      TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
     }
   }
 
   /** The penalty for a mistake stops the reading, but not while a request waits. */
   @Test
   void leavingIsSeenBehindAMistake() throws Exception {
-    try (FakeUpstream upstream = new FakeUpstream((request, connection, out) -> {})) {
+    try (FakeHttpServer upstream = new FakeHttpServer((request, connection, out) -> {})) {
       TestDownstreamServer side = start(upstream);
       try (TestClient client = new TestClient(side.address)) {
         client.send(
-            TestClient.look("0", LEFT_MILLIS, "").replace("acme", "nobody")
-                + TestClient.look("1", LEFT_MILLIS, "")
-                + TestClient.look("2", LEFT_MILLIS, ""));
-        TestProxy.until(() -> upstream.requests.size() == 1);
-        client.leave(false);
+            TestClient.idempotentRequest("0", LEFT_MILLIS, "").replace("acme", "nobody")
+                + TestClient.idempotentRequest("1", LEFT_MILLIS, "")
+                + TestClient.idempotentRequest("2", LEFT_MILLIS, ""));
+        TestProxy.waitUntil(() -> upstream.requests.size() == 1);
+        client.disconnect(false);
       }
       assertInstanceOf(
           ClientDisconnected.class, ends.poll(30, TimeUnit.SECONDS), "its time was not up");
@@ -143,18 +144,18 @@
 
   @Test
   void floodBehindARequestIsAnsweredAtOnceAndItsAttemptGivenUp() throws Exception {
-    try (FakeUpstream upstream = new FakeUpstream((request, connection, out) -> {})) {
+    try (FakeHttpServer upstream = new FakeHttpServer((request, connection, out) -> {})) {
       TestDownstreamServer side = start(upstream);
       try (TestClient client = new TestClient(side.address)) {
-        client.send(TestClient.look("1", LEFT_MILLIS, ""));
-        TestProxy.until(() -> upstream.requests.size() == 1);
+        client.send(TestClient.idempotentRequest("1", LEFT_MILLIS, ""));
+        TestProxy.waitUntil(() -> upstream.requests.size() == 1);
         // Just over what is dropped: more would meet the closed connection while it is written.
         client.send("x".repeat((64 << 10) + 1));
-        assertEquals(400, client.read().status());
+        assertEquals(400, client.readResponse().status());
       }
       assertInstanceOf(
           ClientDisconnected.class, ends.poll(30, TimeUnit.SECONDS), "its time was not up");
-      TestProxy.until(() -> upstream.closedByPeer.get() == 1);
+      TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
     }
   }
 
@@ -168,7 +169,9 @@
                     Arguments.of("a byte", "x", reset),
                     Arguments.of("noise", "nonsense\r\n\r\n", reset),
                     Arguments.of(
-                        "another request", TestClient.look("more", LEFT_MILLIS, ""), reset),
+                        "another request",
+                        TestClient.idempotentRequest("more", LEFT_MILLIS, ""),
+                        reset),
                     Arguments.of("more than is read in a round", "x".repeat(9_000), reset),
                     Arguments.of("much", "x".repeat(40_000), reset)));
   }
@@ -178,19 +181,22 @@
   @MethodSource("unread")
   void requestThatIsReadOnceItsClientHasLeftIsNotSent(String name, String more, boolean reset)
       throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestDownstreamServer side = start(upstream);
       try (TestClient client = new TestClient(side.address)) {
         assertEquals(
             200,
-            client.call(TestClient.look("1", LEFT_MILLIS, "")).status(),
+            client.exchange(TestClient.idempotentRequest("1", LEFT_MILLIS, "")).status(),
             "a connection is there now");
         CountDownLatch behind = new CountDownLatch(1);
-        loop.execute(() -> TestProxy.await(behind));
-        client.send(TestClient.look("2", LEFT_MILLIS, "")).send(more).leave(reset);
+        loop.execute(() -> TestProxy.awaitUninterruptibly(behind));
+        client
+            .send(TestClient.idempotentRequest("2", LEFT_MILLIS, ""))
+            .send(more)
+            .disconnect(reset);
         behind.countDown();
       }
-      TestProxy.until(() -> side.open() == 0);
+      TestProxy.waitUntil(() -> side.openConnections() == 0);
       assertNextIsServed(side, upstream, 2);
     }
   }
@@ -203,36 +209,36 @@
       CountDownLatch left = new CountDownLatch(leavesFirst ? 1 : 0);
       CountDownLatch mayAnswer = new CountDownLatch(1);
       CountDownLatch answered = new CountDownLatch(1);
-      try (FakeUpstream upstream =
-          new FakeUpstream(
+      try (FakeHttpServer upstream =
+          new FakeHttpServer(
               (request, connection, out) -> {
                 mayAnswer.await();
                 left.await();
-                FakeUpstream.write(
+                FakeHttpServer.write(
                     out,
                     request.contains("X-Correlation-Id: 1\n")
                         ? UNPROCESSED
-                        : FakeUpstream.ok("fine"));
+                        : FakeHttpServer.okResponse("fine"));
                 answered.countDown();
               })) {
         TestDownstreamServer side = start(upstream);
         try (TestClient client = new TestClient(side.address)) {
-          client.send(TestClient.look("1", LEFT_MILLIS, ""));
-          TestProxy.until(() -> upstream.requests.size() == 1);
+          client.send(TestClient.idempotentRequest("1", LEFT_MILLIS, ""));
+          TestProxy.waitUntil(() -> upstream.requests.size() == 1);
           CountDownLatch behind = new CountDownLatch(1);
-          loop.execute(() -> TestProxy.await(behind));
+          loop.execute(() -> TestProxy.awaitUninterruptibly(behind));
           mayAnswer.countDown();
           if (!leavesFirst) {
             // The loop reads first what was there first: the outcome, and tries again ahead of the
             // client's end.
             answered.await();
           }
-          client.send(more).leave(reset);
+          client.send(more).disconnect(reset);
           left.countDown();
           answered.await();
           behind.countDown();
         }
-        TestProxy.until(() -> side.open() == 0);
+        TestProxy.waitUntil(() -> side.openConnections() == 0);
         assertNextIsServed(side, upstream, 2);
       }
     }
@@ -257,19 +263,19 @@
   @MethodSource("ways")
   void requestThatIsQueuedIsNotSentOnceItsClientHasLeft(
       boolean cancels, boolean reset, boolean seen) throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestDownstreamServer side = start(cancels, upstream);
       try (TestClient client = new TestClient(side.address)) {
         assertEquals(
             200,
-            client.call(TestClient.look("1", LEFT_MILLIS, "")).status(),
+            client.exchange(TestClient.idempotentRequest("1", LEFT_MILLIS, "")).status(),
             "a connection is there now");
-        side.list(0, upstream, EndpointStatus.DRAINING).get();
-        client.send(TestClient.look("2", LEFT_MILLIS, ""));
-        TestProxy.until(() -> taken.contains("2"));
-        leave(client, reset, seen, () -> side.list(0, upstream, EndpointStatus.READY));
+        side.updateEndpoint(0, upstream, EndpointStatus.DRAINING).get();
+        client.send(TestClient.idempotentRequest("2", LEFT_MILLIS, ""));
+        TestProxy.waitUntil(() -> taken.contains("2"));
+        leave(client, reset, seen, () -> side.updateEndpoint(0, upstream, EndpointStatus.READY));
       }
-      TestProxy.until(() -> side.open() == 0);
+      TestProxy.waitUntil(() -> side.openConnections() == 0);
       assertNextIsServed(side, upstream, 2);
       assertEquals(List.of(), List.copyOf(side.defects));
     }
@@ -283,25 +289,28 @@
     int fill = 8;
     CountDownLatch room = new CountDownLatch(1);
     CountDownLatch answered = new CountDownLatch(fill);
-    try (FakeUpstream full =
-            new FakeUpstream(
+    try (FakeHttpServer full =
+            new FakeHttpServer(
                 (request, connection, out) -> {
                   room.await();
-                  FakeUpstream.write(out, FakeUpstream.ok("fine"));
+                  FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
                   answered.countDown();
                 });
-        FakeUpstream refuses =
-            new FakeUpstream((request, connection, out) -> FakeUpstream.write(out, UNPROCESSED))) {
+        FakeHttpServer refuses =
+            new FakeHttpServer(
+                (request, connection, out) -> FakeHttpServer.write(out, UNPROCESSED))) {
       TestDownstreamServer side = start(cancels, full);
       List<TestClient> others = new ArrayList<>();
       for (int i = 0; i < fill; i++) {
-        others.add(new TestClient(side.address).send(TestClient.look("fill" + i, LEFT_MILLIS, "")));
+        others.add(
+            new TestClient(side.address)
+                .send(TestClient.idempotentRequest("fill" + i, LEFT_MILLIS, "")));
       }
-      TestProxy.until(() -> full.requests.size() == fill);
-      side.list(1, refuses, EndpointStatus.READY).get();
+      TestProxy.waitUntil(() -> full.requests.size() == fill);
+      side.updateEndpoint(1, refuses, EndpointStatus.READY).get();
       try (TestClient client = new TestClient(side.address)) {
-        client.send(TestClient.look("retried", LEFT_MILLIS, ""));
-        TestProxy.until(
+        client.send(TestClient.idempotentRequest("retried", LEFT_MILLIS, ""));
+        TestProxy.waitUntil(
             () ->
                 ends.stream()
                     .anyMatch(
@@ -314,15 +323,15 @@
             seen,
             () -> {
               room.countDown();
-              TestProxy.await(answered);
+              TestProxy.awaitUninterruptibly(answered);
             });
         for (TestClient other : others) {
-          assertEquals(200, other.read().status());
+          assertEquals(200, other.readResponse().status());
           other.close();
         }
       }
-      TestProxy.until(() -> side.open() == 0);
-      side.list(1, refuses, EndpointStatus.REMOVED).get();
+      TestProxy.waitUntil(() -> side.openConnections() == 0);
+      side.updateEndpoint(1, refuses, EndpointStatus.REMOVED).get();
       assertNextIsServed(side, full, fill + 1);
       assertEquals(1, refuses.requests.size());
       assertEquals(List.of(), List.copyOf(side.defects));
@@ -334,13 +343,13 @@
       throws Exception {
     CountDownLatch behind = new CountDownLatch(1);
     if (seen) {
-      client.leave(reset);
-      TestProxy.until(() -> ends.stream().anyMatch(ClientDisconnected.class::isInstance));
+      client.disconnect(reset);
+      TestProxy.waitUntil(() -> ends.stream().anyMatch(ClientDisconnected.class::isInstance));
       room.run();
     } else {
-      loop.execute(() -> TestProxy.await(behind));
+      loop.execute(() -> TestProxy.awaitUninterruptibly(behind));
       room.run();
-      client.leave(reset);
+      client.disconnect(reset);
       behind.countDown();
     }
   }
@@ -351,19 +360,20 @@
   void requestWhoseConnectionComesUpOnceItsClientHasLeftIsNotSent(
       String name, String more, boolean reset) throws Exception {
     for (boolean cancels : new boolean[] {true, false}) {
-      try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+      try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
         TestDownstreamServer side = start(cancels, upstream);
         CountDownLatch behind = new CountDownLatch(1);
         // Behind the task that connects, which the decision adds.
-        onRequest = () -> loop.execute(() -> loop.execute(() -> TestProxy.await(behind)));
+        onRequest =
+            () -> loop.execute(() -> loop.execute(() -> TestProxy.awaitUninterruptibly(behind)));
         try (TestClient client = new TestClient(side.address)) {
-          client.send(TestClient.look("1", LEFT_MILLIS, ""));
-          TestProxy.until(() -> upstream.connections.size() == 1);
-          client.send(more).leave(reset);
+          client.send(TestClient.idempotentRequest("1", LEFT_MILLIS, ""));
+          TestProxy.waitUntil(() -> upstream.connections.size() == 1);
+          client.send(more).disconnect(reset);
           onRequest = () -> {};
           behind.countDown();
         }
-        TestProxy.until(() -> side.open() == 0);
+        TestProxy.waitUntil(() -> side.openConnections() == 0);
         assertNextIsServed(side, upstream, 1);
       }
     }
@@ -377,22 +387,28 @@
   @MethodSource("unread")
   void requestBehindAMistakeIsNotSentOnceItsClientHasLeft(String name, String more, boolean reset)
       throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestDownstreamServer side = start(upstream);
       try (TestClient client = new TestClient(side.address)) {
         assertEquals(
             200,
-            client.call(TestClient.look("1", LEFT_MILLIS, "")).status(),
+            client.exchange(TestClient.idempotentRequest("1", LEFT_MILLIS, "")).status(),
             "a connection is there now");
         assertEquals(
             400,
-            client.call(TestClient.look("2", LEFT_MILLIS, "").replace("acme", "nobody")).status());
+            client
+                .exchange(
+                    TestClient.idempotentRequest("2", LEFT_MILLIS, "").replace("acme", "nobody"))
+                .status());
         CountDownLatch behind = new CountDownLatch(1);
-        loop.execute(() -> TestProxy.await(behind));
-        client.send(TestClient.look("3", LEFT_MILLIS, "")).send(more).leave(reset);
+        loop.execute(() -> TestProxy.awaitUninterruptibly(behind));
+        client
+            .send(TestClient.idempotentRequest("3", LEFT_MILLIS, ""))
+            .send(more)
+            .disconnect(reset);
         behind.countDown();
       }
-      TestProxy.until(() -> side.open() == 0);
+      TestProxy.waitUntil(() -> side.openConnections() == 0);
       assertNextIsServed(side, upstream, 2);
     }
   }
@@ -403,33 +419,35 @@
    */
   @Test
   void clientThatEndsItsHalfHasLeft() throws Exception {
-    try (FakeUpstream upstream =
-        new FakeUpstream(
+    try (FakeHttpServer upstream =
+        new FakeHttpServer(
             (request, connection, out) -> {
               if (!request.contains("X-Correlation-Id: 1\n")) {
-                FakeUpstream.write(out, FakeUpstream.ok("fine"));
+                FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
               }
             })) {
       TestDownstreamServer side = start(upstream);
       try (TestClient seen = new TestClient(side.address);
           TestClient unseen = new TestClient(side.address)) {
-        seen.send(TestClient.look("1", LEFT_MILLIS, "Connection: close\r\n"));
-        TestProxy.until(() -> upstream.requests.size() == 1);
-        seen.endOutput();
+        seen.send(TestClient.idempotentRequest("1", LEFT_MILLIS, "Connection: close\r\n"));
+        TestProxy.waitUntil(() -> upstream.requests.size() == 1);
+        seen.shutdownOutput();
         assertInstanceOf(
             ClientDisconnected.class, ends.poll(30, TimeUnit.SECONDS), "its time was not up");
-        assertTrue(seen.ended());
+        assertTrue(seen.isClosedByServer());
         assertEquals(
             200,
-            unseen.call(TestClient.look("2", LEFT_MILLIS, "")).status(),
+            unseen.exchange(TestClient.idempotentRequest("2", LEFT_MILLIS, "")).status(),
             "a connection is there now");
         CountDownLatch behind = new CountDownLatch(1);
-        loop.execute(() -> TestProxy.await(behind));
-        unseen.send(TestClient.look("3", LEFT_MILLIS, "Connection: close\r\n")).endOutput();
+        loop.execute(() -> TestProxy.awaitUninterruptibly(behind));
+        unseen
+            .send(TestClient.idempotentRequest("3", LEFT_MILLIS, "Connection: close\r\n"))
+            .shutdownOutput();
         behind.countDown();
-        assertTrue(unseen.ended());
+        assertTrue(unseen.isClosedByServer());
       }
-      TestProxy.until(() -> side.open() == 0);
+      TestProxy.waitUntil(() -> side.openConnections() == 0);
       assertNextIsServed(side, upstream, 3);
     }
   }
@@ -442,36 +460,39 @@
   @ValueSource(booleans = {false, true})
   void clientThatAsksAgainOnAnotherConnectionIsAnswered(boolean reset) throws Exception {
     CountDownLatch left = new CountDownLatch(1);
-    try (FakeUpstream upstream =
-        new FakeUpstream(
+    try (FakeHttpServer upstream =
+        new FakeHttpServer(
             (request, connection, out) -> {
               if (request.contains("X-Correlation-Id: again\n")) {
                 left.await();
               }
-              FakeUpstream.write(out, FakeUpstream.ok("fine"));
+              FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
             })) {
       TestDownstreamServer side = start(upstream);
       try (TestClient first = new TestClient(side.address);
           TestClient second = new TestClient(side.address)) {
-        assertEquals(200, first.call(TestClient.look("1", LEFT_MILLIS, "")).status());
-        assertEquals(200, second.call(TestClient.look("2", LEFT_MILLIS, "")).status());
+        assertEquals(
+            200, first.exchange(TestClient.idempotentRequest("1", LEFT_MILLIS, "")).status());
+        assertEquals(
+            200, second.exchange(TestClient.idempotentRequest("2", LEFT_MILLIS, "")).status());
         CountDownLatch behind = new CountDownLatch(1);
-        loop.execute(() -> TestProxy.await(behind));
-        first.send(TestClient.look("again", LEFT_MILLIS, "")).leave(reset);
-        second.send(TestClient.look("again", LEFT_MILLIS, ""));
+        loop.execute(() -> TestProxy.awaitUninterruptibly(behind));
+        first.send(TestClient.idempotentRequest("again", LEFT_MILLIS, "")).disconnect(reset);
+        second.send(TestClient.idempotentRequest("again", LEFT_MILLIS, ""));
         behind.countDown();
-        TestProxy.until(() -> side.open() == 1);
+        TestProxy.waitUntil(() -> side.openConnections() == 1);
         left.countDown();
-        assertEquals(200, second.read().status());
+        assertEquals(200, second.readResponse().status());
       }
       assertEquals(3, upstream.requests.size());
     }
   }
 
-  private void assertNextIsServed(TestDownstreamServer side, FakeUpstream upstream, int requests)
+  private void assertNextIsServed(TestDownstreamServer side, FakeHttpServer upstream, int requests)
       throws Exception {
     try (TestClient next = new TestClient(side.address)) {
-      assertEquals(200, next.call(TestClient.look("next", LEFT_MILLIS, "")).status());
+      assertEquals(
+          200, next.exchange(TestClient.idempotentRequest("next", LEFT_MILLIS, "")).status());
     }
     assertEquals(
         requests, upstream.requests.size(), String.join("\n", List.copyOf(upstream.requests)));
--- /dev/null
+++ b/src/test/java/loadbalancer/proxy/FakeHttpServer.java
@@ -0,0 +1,128 @@
+package loadbalancer.proxy;
+
+import java.io.BufferedReader;
+import java.io.Closeable;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.io.OutputStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Locale;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.atomic.AtomicInteger;
+
+/** An HTTP server on a loopback port with a scripted handler: a fake upstream or discovery. */
+public final class FakeHttpServer implements Closeable {
+
+  /** What the server does with a request. */
+  public interface RequestHandler {
+
+    /** Handles one request, whose text is given; may write nothing, or close the connection. */
+    void handle(String request, Socket connection, OutputStream output) throws Exception;
+  }
+
+  /** The text of each request, in order of arrival. */
+  public final List<String> requests = new CopyOnWriteArrayList<>();
+
+  /** Each accepted connection, in order. */
+  public final List<Socket> connections = new CopyOnWriteArrayList<>();
+
+  /** How many connections have ended. */
+  public final AtomicInteger connectionsClosedByPeer = new AtomicInteger();
+
+  /** Handles the requests that arrive from now on. */
+  public volatile RequestHandler requestHandler;
+
+  private final ServerSocket listener;
+
+  /** Starts a server on a free loopback port. */
+  public FakeHttpServer(RequestHandler requestHandler) throws IOException {
+    this.requestHandler = requestHandler;
+    listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    startDaemon(
+        () -> {
+          while (true) {
+            Socket connection = listener.accept();
+            connections.add(connection);
+            startDaemon(() -> serve(connection));
+          }
+        });
+  }
+
+  /** A server that responds to every request with a 200 and this body. */
+  public static FakeHttpServer respondingWith(String body) throws IOException {
+    return new FakeHttpServer((request, connection, output) -> write(output, okResponse(body)));
+  }
+
+  /** The text of a 200 response with this body. */
+  public static String okResponse(String body) {
+    return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+  }
+
+  /** Writes and flushes a text. */
+  public static void write(OutputStream output, String text) throws IOException {
+    output.write(text.getBytes(StandardCharsets.UTF_8));
+    output.flush();
+  }
+
+  private interface FailableTask {
+    void run() throws Exception;
+  }
+
+  private static void startDaemon(FailableTask task) {
+    Thread thread =
+        new Thread(
+            () -> {
+              try {
+                task.run();
+              } catch (Exception e) {
+                // Expected: the test closed this server, or the peer closed its connection.
+              }
+            });
+    thread.setDaemon(true);
+    thread.start();
+  }
+
+  private void serve(Socket connection) throws Exception {
+    BufferedReader input =
+        new BufferedReader(
+            new InputStreamReader(connection.getInputStream(), StandardCharsets.UTF_8));
+    try {
+      for (String line = input.readLine(); line != null; line = input.readLine()) {
+        StringBuilder request = new StringBuilder();
+        int bodyLength = 0;
+        for (; line != null && !line.isEmpty(); line = input.readLine()) {
+          request.append(line).append('\n');
+          if (line.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
+            bodyLength = Integer.parseInt(line.substring("content-length:".length()).trim());
+          }
+        }
+        request.append('\n');
+        for (int i = 0; i < bodyLength; i++) {
+          request.append((char) input.read());
+        }
+        requests.add(request.toString());
+        requestHandler.handle(request.toString(), connection, connection.getOutputStream());
+      }
+    } finally {
+      connectionsClosedByPeer.incrementAndGet();
+    }
+  }
+
+  /** The address that it listens on. */
+  public InetSocketAddress address() {
+    return (InetSocketAddress) listener.getLocalSocketAddress();
+  }
+
+  @Override
+  public void close() throws IOException {
+    listener.close();
+    for (Socket connection : connections) {
+      connection.close();
+    }
+  }
+}
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -18,7 +18,7 @@
  */
 class GracefulShutdownTest {
 
-  private static final String LOOK = TestClient.look("1", 20_000, "");
+  private static final String LOOK = TestClient.idempotentRequest("1", 20_000, "");
 
   private final EventLoop loop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -30,50 +30,50 @@
 
   @Test
   void keptConnectionIsServedOnUntilTheIdleOnesGo() throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestDownstreamServer side = new TestDownstreamServer(loop, event -> {}, upstream);
       try (TestClient client = new TestClient(side.address)) {
-        side.drain();
-        TestClient.Reply reply = client.call(LOOK);
+        side.startDraining();
+        TestClient.Response reply = client.exchange(LOOK);
         assertEquals("fine", reply.body());
         assertFalse(reply.head().contains("connection: close"), reply.head());
-        assertEquals("fine", client.call(LOOK).body());
-        side.closeIdle();
-        assertTrue(client.ended());
-        TestProxy.until(() -> side.open() == 0);
+        assertEquals("fine", client.exchange(LOOK).body());
+        side.closeIdleConnections();
+        assertTrue(client.isClosedByServer());
+        TestProxy.waitUntil(() -> side.openConnections() == 0);
       }
     }
   }
 
   @Test
   void requestThatHasComeInPartIsServedOnceItIsWhole() throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestDownstreamServer side = new TestDownstreamServer(loop, event -> {}, upstream);
       try (TestClient client = new TestClient(side.address)) {
-        assertEquals("fine", client.call(LOOK).body());
-        String order = TestClient.order("2", 20_000);
+        assertEquals("fine", client.exchange(LOOK).body());
+        String order = TestClient.keyedRequest("2", 20_000);
         client.send(order.substring(0, order.length() - 2));
-        TestProxy.until(() -> side.inPart() == 1);
-        side.closeIdle();
-        TestClient.Reply reply = client.call(order.substring(order.length() - 2));
+        TestProxy.waitUntil(() -> side.partialRequests() == 1);
+        side.closeIdleConnections();
+        TestClient.Response reply = client.exchange(order.substring(order.length() - 2));
         assertEquals("fine", reply.body());
         assertTrue(reply.head().contains("connection: close"), reply.head());
-        assertTrue(client.ended());
+        assertTrue(client.isClosedByServer());
       }
     }
   }
 
   @Test
   void newConnectionMayStillAsk() throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestDownstreamServer side = new TestDownstreamServer(loop, event -> {}, upstream);
       try (TestClient client = new TestClient(side.address)) {
-        TestProxy.until(() -> side.open() == 1);
-        side.closeIdle();
-        TestClient.Reply reply = client.call(LOOK);
+        TestProxy.waitUntil(() -> side.openConnections() == 1);
+        side.closeIdleConnections();
+        TestClient.Response reply = client.exchange(LOOK);
         assertEquals("fine", reply.body());
         assertTrue(reply.head().contains("connection: close"), reply.head());
-        assertTrue(client.ended());
+        assertTrue(client.isClosedByServer());
       }
     }
   }
@@ -81,29 +81,29 @@
   @Test
   void inTheEndPartsAreAnsweredSilentOnesClosedAndWhatWasTakenIsServed() throws Exception {
     CountDownLatch held = new CountDownLatch(1);
-    try (FakeUpstream upstream =
-        new FakeUpstream(
+    try (FakeHttpServer upstream =
+        new FakeHttpServer(
             (request, connection, out) -> {
               held.await();
-              FakeUpstream.write(out, FakeUpstream.ok("fine"));
+              FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
             })) {
       TestDownstreamServer side = new TestDownstreamServer(loop, event -> {}, upstream);
       try (TestClient part = new TestClient(side.address);
           TestClient silent = new TestClient(side.address);
           TestClient taken = new TestClient(side.address)) {
         taken.send(LOOK);
-        TestProxy.until(() -> upstream.requests.size() == 1);
+        TestProxy.waitUntil(() -> upstream.requests.size() == 1);
         part.send("GET /look");
-        TestProxy.until(() -> side.inPart() == 1);
-        side.closeIdle();
-        side.endUntaken();
-        assertEquals(408, part.read().status());
-        assertTrue(part.ended());
-        assertTrue(silent.ended());
+        TestProxy.waitUntil(() -> side.partialRequests() == 1);
+        side.closeIdleConnections();
+        side.closeIncompleteRequests();
+        assertEquals(408, part.readResponse().status());
+        assertTrue(part.isClosedByServer());
+        assertTrue(silent.isClosedByServer());
         held.countDown();
-        assertEquals("fine", taken.read().body());
-        assertTrue(taken.ended());
-        TestProxy.until(() -> side.open() == 0);
+        assertEquals("fine", taken.readResponse().body());
+        assertTrue(taken.isClosedByServer());
+        TestProxy.waitUntil(() -> side.openConnections() == 0);
       }
     }
   }
--- a/src/test/java/loadbalancer/proxy/IdleClients.java
+++ b/src/test/java/loadbalancer/proxy/IdleClients.java
@@ -8,16 +8,21 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Many clients that each send one thing and then rest, each on a connection of its own. */
+/** Many clients that each send one text on a connection of their own and then stay idle. */
 public final class IdleClients implements Closeable {
 
-  public static final String NOTHING = "";
-  public static final String HALF_A_HEAD = "GET /look HTTP/1.1\r\nHost: h\r\n";
-  public static final String ASKS_ONCE = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
+  /** Sends nothing. */
+  public static final String NO_BYTES = "";
 
-  private static final long PERIOD_MILLIS = 5;
+  /** Sends a part of a request head. */
+  public static final String PARTIAL_HEAD = "GET /look HTTP/1.1\r\nHost: h\r\n";
 
-  /** One of them: its socket, and what of its text is still to be sent. */
+  /** Sends one complete readiness request. */
+  public static final String READINESS_REQUEST = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
+
+  private static final long POLL_PERIOD_MILLIS = 5;
+
+  /** One client: its socket and the rest of the text that it has not sent yet. */
   private static final class Client {
     private final SocketChannel socket = SocketChannel.open();
     private final ByteBuffer unsent;
@@ -28,8 +33,8 @@
       socket.connect(address);
     }
 
-    /** Whether it has been ended. */
-    public boolean ended(ByteBuffer scratch) throws IOException {
+    /** Sends what it can; whether the server has closed the connection. */
+    boolean isClosedByServer(ByteBuffer scratch) throws IOException {
       try {
         if (!socket.isConnected() && !socket.finishConnect()) {
           return false;
@@ -42,18 +47,21 @@
     }
   }
 
-  /** How many connections the balancer has ended. */
-  public final AtomicInteger ended = new AtomicInteger();
+  /** How many connections the server has closed. */
+  public final AtomicInteger closedByServer = new AtomicInteger();
 
   private final Client[] clients;
   private final Thread thread;
   private volatile boolean closing;
 
   /**
-   * So many connections, the texts sent in turn, one on each; where they come back, each end is
-   * another's start.
+   * Opens connections.
+   *
+   * @param count how many
+   * @param reconnect whether a new connection replaces each that the server closes
+   * @param texts sent in turn, one on each connection
    */
-  public IdleClients(InetSocketAddress address, int count, boolean comeBack, String... texts)
+  public IdleClients(InetSocketAddress address, int count, boolean reconnect, String... texts)
       throws IOException {
     clients = new Client[count];
     for (int i = 0; i < count; i++) {
@@ -66,16 +74,16 @@
                 ByteBuffer scratch = ByteBuffer.allocate(1024);
                 while (!closing) {
                   for (int i = 0; i < count; i++) {
-                    if (clients[i] != null && clients[i].ended(scratch)) {
+                    if (clients[i] != null && clients[i].isClosedByServer(scratch)) {
                       clients[i].socket.close();
-                      clients[i] = comeBack ? new Client(address, texts[i % texts.length]) : null;
-                      ended.incrementAndGet();
+                      clients[i] = reconnect ? new Client(address, texts[i % texts.length]) : null;
+                      closedByServer.incrementAndGet();
                     }
                   }
-                  Thread.sleep(PERIOD_MILLIS);
+                  Thread.sleep(POLL_PERIOD_MILLIS);
                 }
               } catch (IOException | InterruptedException e) {
-                // The test is over.
+                // Expected: the test has ended.
               }
             },
             "idle clients");
--- a/src/test/java/loadbalancer/proxy/MalformedRequestTest.java
+++ b/src/test/java/loadbalancer/proxy/MalformedRequestTest.java
@@ -13,7 +13,7 @@
 class MalformedRequestTest {
 
   static Stream<Arguments> requests() {
-    String good = TestClient.look("1", 15_000, "");
+    String good = TestClient.idempotentRequest("1", 15_000, "");
     return Stream.of(
         Arguments.of(400, good.replace("X-Service-Class: look", "X-Service-Class: none")),
         Arguments.of(400, good.replace("/look/a", "/order")),
@@ -24,25 +24,29 @@
         Arguments.of(400, good.replace("15000", "-1")),
         Arguments.of(400, good.replace("15000", "99999999999999999999")),
         Arguments.of(405, good.replace("GET ", "DELETE ")),
-        Arguments.of(400, TestClient.order("1", 15_000).replace("Idempotency-Key: once-1\r\n", "")),
+        Arguments.of(
+            400, TestClient.keyedRequest("1", 15_000).replace("Idempotency-Key: once-1\r\n", "")),
         Arguments.of(
             413,
-            TestClient.order("1", 15_000).replace("Length: 4", "Length: 70000")
+            TestClient.keyedRequest("1", 15_000).replace("Length: 4", "Length: 70000")
                 + "x".repeat(70_000)),
         Arguments.of(400, "nonsense\r\n\r\n"),
-        Arguments.of(400, TestClient.look("1", 15_000, "X-Long: " + "x".repeat(20_000) + "\r\n")),
-        Arguments.of(400, TestClient.order("1", 15_000).replace("Length: 4", "Length: four")));
+        Arguments.of(
+            400,
+            TestClient.idempotentRequest("1", 15_000, "X-Long: " + "x".repeat(20_000) + "\r\n")),
+        Arguments.of(
+            400, TestClient.keyedRequest("1", 15_000).replace("Length: 4", "Length: four")));
   }
 
   @ParameterizedTest
   @MethodSource("requests")
   void getsItsStatusAndTheNextClientIsServed(int status, String request) throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address);
           TestClient next = new TestClient(node.address)) {
-        assertEquals(status, client.call(request).status());
-        assertEquals(200, next.call(TestClient.look("1", 15_000, "")).status());
+        assertEquals(status, client.exchange(request).status());
+        assertEquals(200, next.exchange(TestClient.idempotentRequest("1", 15_000, "")).status());
         assertEquals(1, upstream.requests.size(), "none of it went on");
       }
     }
@@ -50,12 +54,14 @@
 
   @Test
   void pipeliningGetsTheFirstAnswerAndAnEnd() throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
-        client.send(TestClient.look("1", 15_000, "") + TestClient.look("2", 15_000, ""));
-        assertEquals("fine", client.read().body());
-        assertTrue(client.ended());
+        client.send(
+            TestClient.idempotentRequest("1", 15_000, "")
+                + TestClient.idempotentRequest("2", 15_000, ""));
+        assertEquals("fine", client.readResponse().body());
+        assertTrue(client.isClosedByServer());
         assertEquals(1, upstream.requests.size());
       }
     }
@@ -64,20 +70,20 @@
   @Test
   void idThatIsOpenIsAConflictAndTheFirstKeepsItsAnswer() throws Exception {
     var held = new java.util.concurrent.CountDownLatch(1);
-    try (FakeUpstream upstream =
-        new FakeUpstream(
+    try (FakeHttpServer upstream =
+        new FakeHttpServer(
             (request, connection, out) -> {
               held.await();
-              FakeUpstream.write(out, FakeUpstream.ok("fine"));
+              FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
             })) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient first = new TestClient(node.address);
           TestClient second = new TestClient(node.address)) {
-        first.send(TestClient.look("1", 15_000, ""));
-        TestProxy.until(() -> upstream.requests.size() == 1);
-        assertEquals(409, second.call(TestClient.look("1", 15_000, "")).status());
+        first.send(TestClient.idempotentRequest("1", 15_000, ""));
+        TestProxy.waitUntil(() -> upstream.requests.size() == 1);
+        assertEquals(409, second.exchange(TestClient.idempotentRequest("1", 15_000, "")).status());
         held.countDown();
-        assertEquals("fine", first.read().body());
+        assertEquals("fine", first.readResponse().body());
       }
     }
   }
--- a/src/test/java/loadbalancer/proxy/MalformedResponseTest.java
+++ b/src/test/java/loadbalancer/proxy/MalformedResponseTest.java
@@ -15,8 +15,8 @@
 
   private static final int FAILED = 502;
 
-  private static FakeUpstream.Behaviour says(String answer) {
-    return (request, connection, out) -> FakeUpstream.write(out, answer);
+  private static FakeHttpServer.RequestHandler says(String answer) {
+    return (request, connection, out) -> FakeHttpServer.write(out, answer);
   }
 
   private static Arguments row(String name, String answer) {
@@ -63,21 +63,21 @@
   @MethodSource("spoilt")
   void spoiltAnswerIsAFailureAtOnceAndItsConnectionIsClosed(String name, String answer)
       throws Exception {
-    try (FakeUpstream upstream = new FakeUpstream(says(answer))) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+    try (FakeHttpServer upstream = new FakeHttpServer(says(answer))) {
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         long start = System.nanoTime();
-        assertEquals(FAILED, client.call(TestClient.order("1", 20_000)).status());
+        assertEquals(FAILED, client.exchange(TestClient.keyedRequest("1", 20_000)).status());
         assertTrue(
             System.nanoTime() - start < 15_000_000_000L, "long before the request's time is up");
-        TestProxy.until(() -> upstream.closedByPeer.get() == 1);
+        TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
       }
     }
   }
 
   static Stream<Arguments> surplus() {
     return Stream.of(
-        row("a second copy", FakeUpstream.ok("mine")),
+        row("a second copy", FakeHttpServer.okResponse("mine")),
         row("half a line", "HTT"),
         row("noise", "\u0000\u0001\u0002"));
   }
@@ -85,19 +85,20 @@
   @ParameterizedTest(name = "{0}")
   @MethodSource("surplus")
   void whatComesBehindAnAnswerIsNeverTheNextOnes(String name, String behind) throws Exception {
-    try (FakeUpstream upstream =
-        new FakeUpstream(
+    try (FakeHttpServer upstream =
+        new FakeHttpServer(
             (request, connection, out) -> {
               String body = request.contains("X-Correlation-Id: 1\n") ? "mine" : "next";
-              FakeUpstream.write(out, FakeUpstream.ok(body) + (body.equals("mine") ? behind : ""));
+              FakeHttpServer.write(
+                  out, FakeHttpServer.okResponse(body) + (body.equals("mine") ? behind : ""));
             })) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient first = new TestClient(node.address);
           TestClient second = new TestClient(node.address)) {
-        assertEquals("mine", first.call(TestClient.order("1", 15_000)).body());
-        assertEquals("next", second.call(TestClient.order("2", 15_000)).body());
+        assertEquals("mine", first.exchange(TestClient.keyedRequest("1", 15_000)).body());
+        assertEquals("next", second.exchange(TestClient.keyedRequest("2", 15_000)).body());
         assertEquals(2, upstream.connections.size(), "the first connection is of no further use");
-        TestProxy.until(() -> upstream.closedByPeer.get() == 1);
+        TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
       }
     }
   }
@@ -105,42 +106,42 @@
   @Test
   void whatComesOnAnIdleConnectionClosesIt() throws Exception {
     CountDownLatch answered = new CountDownLatch(1);
-    try (FakeUpstream upstream =
-        new FakeUpstream(
+    try (FakeHttpServer upstream =
+        new FakeHttpServer(
             (request, connection, out) -> {
-              FakeUpstream.write(out, FakeUpstream.ok("fine"));
+              FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
               answered.await();
-              FakeUpstream.write(out, "H");
+              FakeHttpServer.write(out, "H");
             })) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
-        assertEquals("fine", client.call(TestClient.order("1", 15_000)).body());
+        assertEquals("fine", client.exchange(TestClient.keyedRequest("1", 15_000)).body());
         answered.countDown();
-        TestProxy.until(() -> upstream.closedByPeer.get() == 1);
-        assertEquals("fine", client.call(TestClient.order("2", 15_000)).body());
+        TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
+        assertEquals("fine", client.exchange(TestClient.keyedRequest("2", 15_000)).body());
       }
     }
   }
 
   @Test
   void interimAnswersAndAnUnreadableReportSpoilNothing() throws Exception {
-    try (FakeUpstream upstream =
-        new FakeUpstream(
+    try (FakeHttpServer upstream =
+        new FakeHttpServer(
             (request, connection, out) -> {
-              FakeUpstream.write(out, "HTTP/1.1 103 E\r\nLink: x\r\n\r\n");
+              FakeHttpServer.write(out, "HTTP/1.1 103 E\r\nLink: x\r\n\r\n");
               // Longer than an answer may take from its first byte to its last: an interim one is
               // not its first byte.
               Thread.sleep(600);
-              FakeUpstream.write(
+              FakeHttpServer.write(
                   out,
                   "HTTP/1.1 200 OK\r\n"
                       + "X-Backend-Load: inflight==;7,,\r\n"
                       + "Content-Length: 4\r\n\r\n"
                       + "fine");
             })) {
-      TestProxy node = new TestProxy(TestProxy.nowhere(), 1, upstream);
+      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
-        assertEquals("fine", client.call(TestClient.order("1", 15_000)).body());
+        assertEquals("fine", client.exchange(TestClient.keyedRequest("1", 15_000)).body());
       }
     }
   }
--- a/src/test/java/loadbalancer/proxy/ManualEventLoop.java
+++ b/src/test/java/loadbalancer/proxy/ManualEventLoop.java
@@ -9,50 +9,53 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** An event loop with real sockets whose timers go by a clock that only the test moves on. */
+/** An event loop with real sockets whose timers follow a clock that only the test advances. */
 public final class ManualEventLoop extends SingleThreadIoEventLoop {
 
   private record Timer(long atMillis, Runnable task, ScheduledFuture<?> handle) {}
 
   private final List<Timer> timers = new ArrayList<>();
-  private long now;
+  private long nowMillis;
 
+  /** Makes a loop whose clock stands at 0. */
   public ManualEventLoop() {
-    super(null, new DefaultThreadFactory("clock-loop", true), NioIoHandler.newFactory());
+    super(null, new DefaultThreadFactory("manual-event-loop", true), NioIoHandler.newFactory());
   }
 
-  /** Timers are set and fired on the loop's thread alone. */
+  /** Called on the thread of the loop only, as are the timers. */
   @Override
   public ScheduledFuture<?> schedule(Runnable task, long delay, TimeUnit unit) {
-    // The handle is there to be cancelled: no test lasts so long that it fires by itself.
+    // The handle only carries cancellation: no test lasts until it fires by itself.
     ScheduledFuture<?> handle = super.schedule(() -> {}, 1, TimeUnit.DAYS);
-    timers.add(new Timer(now + unit.toMillis(delay), task, handle));
+    timers.add(new Timer(nowMillis + unit.toMillis(delay), task, handle));
     return handle;
   }
 
   private Timer earliest() {
-    timers.removeIf(t -> t.handle().isCancelled());
+    timers.removeIf(timer -> timer.handle().isCancelled());
     return timers.stream().min(Comparator.comparingLong(Timer::atMillis)).orElse(null);
   }
 
-  /** Time to the next timer, seen between two pieces of the loop's work; -1 where there is none. */
-  public long untilNext() {
-    return submit(() -> earliest() == null ? -1 : earliest().atMillis() - now)
+  /** Milliseconds to the next timer, read between two tasks of the loop; -1 if there is none. */
+  public long millisToNextTimer() {
+    return submit(() -> earliest() == null ? -1 : earliest().atMillis() - nowMillis)
         .syncUninterruptibly()
         .getNow();
   }
 
-  /** Moves the clock on, with the timers that come due on the way. */
-  public void pass(long millis) {
+  /** Advances the clock and runs the timers that come due on the way, in order. */
+  public void advance(long millis) {
     submit(
             () -> {
-              long end = now + millis;
-              for (Timer due = earliest(); due != null && due.atMillis() <= end; due = earliest()) {
+              long endMillis = nowMillis + millis;
+              for (Timer due = earliest();
+                  due != null && due.atMillis() <= endMillis;
+                  due = earliest()) {
                 timers.remove(due);
-                now = due.atMillis();
+                nowMillis = due.atMillis();
                 due.task().run();
               }
-              now = end;
+              nowMillis = endMillis;
             })
         .syncUninterruptibly();
   }
--- a/src/test/java/loadbalancer/proxy/ProcessTest.java
+++ b/src/test/java/loadbalancer/proxy/ProcessTest.java
@@ -93,42 +93,42 @@
   @Test
   void sigtermAnswersWhatWasTakenAndEndsWithStatusZero() throws Exception {
     CountDownLatch held = new CountDownLatch(1);
-    try (FakeUpstream upstream =
-        new FakeUpstream(
+    try (FakeHttpServer upstream =
+        new FakeHttpServer(
             (request, connection, out) -> {
               held.await();
-              FakeUpstream.write(out, FakeUpstream.ok("fine"));
+              FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
             })) {
-      start(TestProxy.json(TestProxy.nowhere(), 1, upstream));
+      start(TestProxy.configurationJson(TestProxy.unreachableAddress(), 1, upstream));
       InetSocketAddress address = address();
       try (TestClient open = new TestClient(address);
           TestClient idle = new TestClient(address);
           TestClient slow = new TestClient(address)) {
-        slow.send(TestClient.order("2", 15_000).replace("Length: 4", "Length: 400"));
-        idle.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-        open.send(TestClient.order("1", 15_000));
-        TestProxy.until(() -> upstream.requests.size() == 1);
+        slow.send(TestClient.keyedRequest("2", 15_000).replace("Length: 4", "Length: 400"));
+        idle.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
+        open.send(TestClient.keyedRequest("1", 15_000));
+        TestProxy.waitUntil(() -> upstream.requests.size() == 1);
         signal("TERM");
         awaitLog(" drains");
         assertEquals(
             503,
-            idle.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status(),
+            idle.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status(),
             "clients here are served on");
         try (TestClient late = new TestClient(address)) {
-          assertEquals(503, late.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
+          assertEquals(503, late.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
         } catch (IOException e) {
           // A busy machine came here only after the half second in which clients are still
           // accepted.
           assertTrue(process.isAlive(), "the request that was taken is still open");
         }
-        assertTrue(idle.ended(), "an idle connection, in the end");
+        assertTrue(idle.isClosedByServer(), "an idle connection, in the end");
         assertEquals(
-            408, slow.read().status(), "a request that has come in part is not waited for");
+            408, slow.readResponse().status(), "a request that has come in part is not waited for");
         held.countDown();
-        TestClient.Reply reply = open.read();
+        TestClient.Response reply = open.readResponse();
         assertEquals("fine", reply.body());
         assertTrue(reply.head().contains("connection: close"), reply.head());
-        assertTrue(open.ended());
+        assertTrue(open.isClosedByServer());
       }
       assertEquals(0, status());
     }
@@ -151,28 +151,30 @@
   /** Unhandled, SIGHUP ends a Java process. */
   @Test
   void sighupFollowsTheNewDiscoveryEachTimeAndABadFileChangesNothing() throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine");
-        FakeUpstream first = new FakeUpstream((r, c, out) -> {});
-        FakeUpstream second = new FakeUpstream((r, c, out) -> {});
-        FakeUpstream third = new FakeUpstream((r, c, out) -> {})) {
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine");
+        FakeHttpServer first = new FakeHttpServer((r, c, out) -> {});
+        FakeHttpServer second = new FakeHttpServer((r, c, out) -> {});
+        FakeHttpServer third = new FakeHttpServer((r, c, out) -> {})) {
       start(
-          TestProxy.json(first.address(), 1, upstream),
+          TestProxy.configurationJson(first.address(), 1, upstream),
           "PROXY_DISCOVERY",
-          TestProxy.text(first.address()));
+          TestProxy.hostAndPort(first.address()));
       InetSocketAddress address = address();
-      TestProxy.until(() -> first.requests.size() == 1);
+      TestProxy.waitUntil(() -> first.requests.size() == 1);
       Path file = folder.resolve("config.json");
-      Files.writeString(file, TestProxy.json(second.address(), 1, upstream));
+      Files.writeString(file, TestProxy.configurationJson(second.address(), 1, upstream));
       signal("HUP");
-      TestProxy.until(() -> second.requests.size() == 1 && first.closedByPeer.get() == 1);
+      TestProxy.waitUntil(
+          () -> second.requests.size() == 1 && first.connectionsClosedByPeer.get() == 1);
       Files.writeString(file, "{");
       signal("HUP");
       awaitLog("the configuration stays as it was");
-      Files.writeString(file, TestProxy.json(third.address(), 1, upstream));
+      Files.writeString(file, TestProxy.configurationJson(third.address(), 1, upstream));
       signal("HUP");
-      TestProxy.until(() -> third.requests.size() == 1 && second.closedByPeer.get() == 1);
+      TestProxy.waitUntil(
+          () -> third.requests.size() == 1 && second.connectionsClosedByPeer.get() == 1);
       try (TestClient client = new TestClient(address)) {
-        assertEquals("fine", client.call(TestClient.order("1", 15_000)).body());
+        assertEquals("fine", client.exchange(TestClient.keyedRequest("1", 15_000)).body());
       }
       process.destroy();
       assertEquals(0, status());
@@ -182,11 +184,12 @@
   /** Guards against reloads that never come and nobody misses until drains are broken. */
   @Test
   void startWithSighupIgnoredFollowsTheFileInstead() throws Exception {
-    try (FakeUpstream first = new FakeUpstream((r, c, out) -> {});
-        FakeUpstream second = new FakeUpstream((r, c, out) -> {});
-        FakeUpstream third = new FakeUpstream((r, c, out) -> {})) {
+    try (FakeHttpServer first = new FakeHttpServer((r, c, out) -> {});
+        FakeHttpServer second = new FakeHttpServer((r, c, out) -> {});
+        FakeHttpServer third = new FakeHttpServer((r, c, out) -> {})) {
       Path file =
-          Files.writeString(folder.resolve("config.json"), TestProxy.json(first.address(), 1));
+          Files.writeString(
+              folder.resolve("config.json"), TestProxy.configurationJson(first.address(), 1));
       ProcessBuilder builder = program("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
       process = builder.start();
       log =
@@ -194,24 +197,27 @@
               new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
       awaitLog("reload: started with SIGHUP ignored");
       address();
-      TestProxy.until(() -> first.requests.size() == 1);
-      Files.writeString(file, TestProxy.json(second.address(), 1));
+      TestProxy.waitUntil(() -> first.requests.size() == 1);
+      Files.writeString(file, TestProxy.configurationJson(second.address(), 1));
       signal("HUP");
-      TestProxy.until(() -> second.requests.size() == 1 && first.closedByPeer.get() == 1);
+      TestProxy.waitUntil(
+          () -> second.requests.size() == 1 && first.connectionsClosedByPeer.get() == 1);
       Path other =
-          Files.writeString(folder.resolve("other.json"), TestProxy.json(third.address(), 1));
+          Files.writeString(
+              folder.resolve("other.json"), TestProxy.configurationJson(third.address(), 1));
       Files.move(other, file, StandardCopyOption.REPLACE_EXISTING);
-      TestProxy.until(() -> third.requests.size() == 1 && second.closedByPeer.get() == 1);
+      TestProxy.waitUntil(
+          () -> third.requests.size() == 1 && second.connectionsClosedByPeer.get() == 1);
       process.destroy();
       assertEquals(0, status());
     }
   }
 
   static Stream<Arguments> crowds() {
-    String[] all = {IdleClients.NOTHING, IdleClients.ASKS_ONCE, IdleClients.HALF_A_HEAD};
+    String[] all = {IdleClients.NO_BYTES, IdleClients.READINESS_REQUEST, IdleClients.PARTIAL_HEAD};
     return Stream.of(
-        Arguments.of((Object) new String[] {IdleClients.NOTHING}),
-        Arguments.of((Object) new String[] {IdleClients.ASKS_ONCE}),
+        Arguments.of((Object) new String[] {IdleClients.NO_BYTES}),
+        Arguments.of((Object) new String[] {IdleClients.READINESS_REQUEST}),
         Arguments.of((Object) all));
   }
 
@@ -223,66 +229,69 @@
   @MethodSource("crowds")
   void processWithFewDescriptorsKeepsWithinThemAndGoesOn(String[] crowd) throws Exception {
     CountDownLatch held = new CountDownLatch(1);
-    FakeUpstream.Behaviour watch =
+    FakeHttpServer.RequestHandler watch =
         (request, connection, out) ->
-            FakeUpstream.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    FakeUpstream[] upstreams = new FakeUpstream[17];
+            FakeHttpServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    FakeHttpServer[] upstreams = new FakeHttpServer[17];
     for (int i = 0; i < upstreams.length; i++) {
       upstreams[i] =
-          new FakeUpstream(
+          new FakeHttpServer(
               (request, connection, out) -> {
                 held.await();
-                FakeUpstream.write(out, FakeUpstream.ok("fine"));
+                FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
               });
     }
-    try (FakeUpstream server = new FakeUpstream(watch)) {
+    try (FakeHttpServer server = new FakeHttpServer(watch)) {
       Files.writeString(
           folder.resolve("config.json"),
-          TestProxy.json(server.address(), 1, upstreams)
+          TestProxy.configurationJson(server.address(), 1, upstreams)
               .replace("\"sockets\":1024", "\"sockets\":256"));
       ProcessBuilder builder = program("sh", "-c", "ulimit -n 256; exec \"$0\" \"$@\"");
       process = builder.redirectOutput(folder.resolve("log").toFile()).start();
-      TestProxy.until(() -> logged().contains(" serves at /"));
+      TestProxy.waitUntil(() -> logged().contains(" serves at /"));
       String serving =
           logged().lines().filter(l -> l.contains(" serves at /")).findFirst().orElseThrow();
       InetSocketAddress address = servedAt(serving);
-      TestProxy.until(() -> server.requests.size() == 1);
+      TestProxy.waitUntil(() -> server.requests.size() == 1);
       List<TestClient> asking = new ArrayList<>();
       for (int i = 0; i < 102; i++) {
         asking.add(
             new TestClient(address)
-                .send(TestClient.look("h" + i, 20_000, "").replace("Key: k", "Key: k" + i)));
+                .send(
+                    TestClient.idempotentRequest("h" + i, 20_000, "")
+                        .replace("Key: k", "Key: k" + i)));
       }
       try {
-        TestProxy.until(() -> Stream.of(upstreams).mapToInt(u -> u.requests.size()).sum() == 102);
+        TestProxy.waitUntil(
+            () -> Stream.of(upstreams).mapToInt(u -> u.requests.size()).sum() == 102);
         AtomicInteger most = new AtomicInteger();
         try (IdleClients idle = new IdleClients(address, 600, true, crowd)) {
-          server.behaviour = (request, connection, out) -> connection.close();
+          server.requestHandler = (request, connection, out) -> connection.close();
           server.connections.get(0).close();
-          TestProxy.until(
+          TestProxy.waitUntil(
               () -> {
                 most.accumulateAndGet(descriptors(), Math::max);
-                return server.requests.size() > 3 && idle.ended.get() > 100;
+                return server.requests.size() > 3 && idle.closedByServer.get() > 100;
               });
-          server.behaviour = watch;
+          server.requestHandler = watch;
           int watches = server.requests.size();
-          TestProxy.until(
+          TestProxy.waitUntil(
               () -> {
                 most.accumulateAndGet(descriptors(), Math::max);
                 return server.requests.size() > watches;
               });
           try (TestClient up = new TestClient(address)) {
-            assertEquals(200, up.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
+            assertEquals(200, up.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
           }
           held.countDown();
           // Each is answered at once; refused as long as the held ones hold all room, or as their
           // time is the mean.
           int[] next = {0};
-          TestProxy.until(
+          TestProxy.waitUntil(
               () -> {
                 try (TestClient client = new TestClient(address)) {
                   return client
-                      .call(TestClient.look("n" + next[0]++, 15_000, ""))
+                      .exchange(TestClient.idempotentRequest("n" + next[0]++, 15_000, ""))
                       .body()
                       .equals("fine");
                 } catch (IOException e) {
@@ -294,7 +303,7 @@
           assertFalse(logged().contains("Too many open files"), logged());
           for (TestClient client : asking) {
             assertTrue(
-                List.of(200, 429).contains(client.read().status()),
+                List.of(200, 429).contains(client.readResponse().status()),
                 "served, or its time was up meanwhile");
           }
           process.destroy();
@@ -304,7 +313,7 @@
         for (TestClient client : asking) {
           client.close();
         }
-        for (FakeUpstream upstream : upstreams) {
+        for (FakeHttpServer upstream : upstreams) {
           upstream.close();
         }
       }
@@ -326,7 +335,7 @@
 
   @Test
   void badConfigurationIsOnePlainLineAndStatusTwo() throws Exception {
-    String good = TestProxy.json(TestProxy.nowhere(), 1);
+    String good = TestProxy.configurationJson(TestProxy.unreachableAddress(), 1);
     for (String bad :
         new String[] {
           null,
--- a/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
+++ b/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
@@ -24,114 +24,124 @@
 import loadbalancer.proxy.transport.EpochClock;
 import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
-/** The listening side with the real module behind it, on a loop that the test may stop and ask. */
+/** The downstream server with the real policy behind it, on an event loop that a test may block. */
 final class TestDownstreamServer {
 
   /** Its limit on connections. */
-  static final int MOST = 100;
+  static final int MAX_CONNECTIONS = 100;
 
+  /** The address that clients connect to. */
   final InetSocketAddress address;
 
-  /** What the core found wrong with the module's actions. */
+  /** The policy's defects that the coordinator has reported. */
   final Queue<RuntimeException> defects = new ConcurrentLinkedQueue<>();
 
   private final EventLoop loop;
-  private final RequestCoordinator core;
-  private final DownstreamServer side;
+  private final RequestCoordinator coordinator;
+  private final DownstreamServer server;
 
-  /** Listens; {@code heard} is told of each event ahead of the module. */
-  TestDownstreamServer(EventLoop loop, Consumer<Event> heard, FakeUpstream... upstreams)
+  /** Listens; {@code eventListener} receives each event ahead of the policy. */
+  TestDownstreamServer(EventLoop loop, Consumer<Event> eventListener, FakeHttpServer... upstreams)
       throws Exception {
-    this(loop, heard, configuration -> configuration, upstreams);
+    this(loop, eventListener, configuration -> configuration, upstreams);
   }
 
-  /** As changed from the usual configuration. */
+  /** The same with a changed configuration. */
   TestDownstreamServer(
       EventLoop loop,
-      Consumer<Event> heard,
-      UnaryOperator<String> change,
-      FakeUpstream... upstreams)
+      Consumer<Event> eventListener,
+      UnaryOperator<String> configurationChange,
+      FakeHttpServer... upstreams)
       throws Exception {
     this.loop = loop;
-    JsonObjectReader f =
+    JsonObjectReader fields =
         JsonObjectReader.parse(
-            "configuration", change.apply(TestProxy.json(TestProxy.nowhere(), 3, upstreams)));
-    var settings = PolicySettingsReader.read(f.nested("settings"));
-    AdaptiveLoadBalancingPolicy module = new AdaptiveLoadBalancingPolicy(settings, 1);
-    core =
+            "configuration",
+            configurationChange.apply(
+                TestProxy.configurationJson(TestProxy.unreachableAddress(), 3, upstreams)));
+    var settings = PolicySettingsReader.read(fields.nested("settings"));
+    AdaptiveLoadBalancingPolicy policy = new AdaptiveLoadBalancingPolicy(settings, 1);
+    coordinator =
         new RequestCoordinator(
             settings,
-            (now, event, out) -> {
-              heard.accept(event);
-              module.handle(now, event, out);
+            (nowNanos, event, actions) -> {
+              eventListener.accept(event);
+              policy.handle(nowNanos, event, actions);
             },
             new EpochClock(),
             loop,
             new EventLoopLag(loop),
             new UpstreamConnectionPools(loop, 5_000_000_000L, 60_000_000_000L, 100),
             defects::add);
-    side = new DownstreamServer(loop, settings, core, MOST, null);
-    EndpointList known = EndpointList.of(f.nested("known"));
-    on(
+    server = new DownstreamServer(loop, settings, coordinator, MAX_CONNECTIONS, null);
+    EndpointList knownEndpoints = EndpointList.of(fields.nested("known"));
+    onLoop(
         () -> {
-          core.start(known, watch -> {});
-          side.setReady();
+          coordinator.start(knownEndpoints, watch -> {});
+          server.setReady();
           return null;
         });
-    address = side.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    address = server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
   }
 
   /**
-   * The list names this upstream anew, as s- and this number; done once the loop has come to it.
+   * Submits a change of the endpoint list: one entry, named s- and this number. The future
+   * completes once the event loop has handled it.
    */
-  Future<?> list(int number, FakeUpstream upstream, EndpointStatus state) {
-    EndpointDescriptor listed =
-        new EndpointDescriptor(EndpointList.idOf("s-" + number), "a", 1, state, 0, 1);
+  Future<?> updateEndpoint(int number, FakeHttpServer upstream, EndpointStatus status) {
+    EndpointDescriptor descriptor =
+        new EndpointDescriptor(EndpointList.idOf("s-" + number), "a", 1, status, 0, 1);
     return loop.submit(
         () ->
-            core.news(
+            coordinator.news(
                 new EndpointList(
-                    8, false, List.of(new EndpointList.Host(upstream.address(), listed)))));
+                    8, false, List.of(new EndpointList.Host(upstream.address(), descriptor)))));
   }
 
-  int open() {
-    return on(side::openConnections);
+  /** How many client connections are open. */
+  int openConnections() {
+    return onLoop(server::openConnections);
   }
 
-  /** Connections on which a part of a request has come. */
-  long inPart() {
-    return on(
+  /** How many connections have received a part of a request. */
+  long partialRequests() {
+    return onLoop(
         () ->
-            side.connections().stream().filter(c -> c.isAwaitingRequest() && !c.isIdle()).count());
+            server.connections().stream()
+                .filter(connection -> connection.isAwaitingRequest() && !connection.isIdle())
+                .count());
   }
 
-  void drain() {
-    on(
+  /** Starts the graceful shutdown. */
+  void startDraining() {
+    onLoop(
         () -> {
-          side.beginGracefulShutdown();
+          server.beginGracefulShutdown();
           return null;
         });
   }
 
-  void closeIdle() {
-    on(
+  /** Closes idle connections and marks the others to close after their response. */
+  void closeIdleConnections() {
+    onLoop(
         () -> {
-          side.closeIdleConnections();
+          server.closeIdleConnections();
           return null;
         });
   }
 
-  void endUntaken() {
-    on(
+  /** Ends connections whose request is not complete. */
+  void closeIncompleteRequests() {
+    onLoop(
         () -> {
-          side.endIncompleteRequests();
+          server.endIncompleteRequests();
           return null;
         });
   }
 
-  private <T> T on(Callable<T> work) {
+  private <T> T onLoop(Callable<T> task) {
     try {
-      return loop.submit(work).get();
+      return loop.submit(task).get();
     } catch (InterruptedException | ExecutionException e) {
       throw new AssertionError(e);
     }
--- a/src/test/java/loadbalancer/proxy/TestProxy.java
+++ b/src/test/java/loadbalancer/proxy/TestProxy.java
@@ -11,52 +11,57 @@
 import loadbalancer.config.ProxyConfiguration;
 import loadbalancer.proxy.lifecycle.ProxyServer;
 
-/** A node in this process, with settings fit for tests. */
+/** A proxy server inside the test process, started with settings fit for tests. */
 public final class TestProxy {
 
-  private static final long GENEROUS_NANOS = 30_000_000_000L;
+  private static final long WAIT_LIMIT_NANOS = 30_000_000_000L;
 
+  /** The address that clients connect to. */
   public final InetSocketAddress address;
-  final ProxyServer node;
 
-  public TestProxy(InetSocketAddress discovery, int maxAttempts, FakeUpstream... upstreams)
+  /** The server itself. */
+  final ProxyServer server;
+
+  /** Starts a proxy that knows these upstreams and returns once it reports that it is ready. */
+  public TestProxy(InetSocketAddress discovery, int maxAttempts, FakeHttpServer... upstreams)
       throws Exception {
-    this(json(discovery, maxAttempts, upstreams));
+    this(configurationJson(discovery, maxAttempts, upstreams));
   }
 
+  /** Starts a proxy with this configuration and returns once it reports that it is ready. */
   public TestProxy(String configuration) throws Exception {
-    JsonObjectReader f = JsonObjectReader.parse("configuration", configuration);
-    node =
+    JsonObjectReader fields = JsonObjectReader.parse("configuration", configuration);
+    server =
         new ProxyServer(
             new ProxyConfiguration(
                 "n0",
-                ProxyConfiguration.address("listen", f.text("listen")),
-                ProxyConfiguration.address("discovery", f.text("discovery")),
+                ProxyConfiguration.address("listen", fields.text("listen")),
+                ProxyConfiguration.address("discovery", fields.text("discovery")),
                 1,
-                (int) f.nested("limits").integer("sockets"),
-                EndpointList.of(f.nested("known")),
-                PolicySettingsReader.read(f.nested("settings"))),
+                (int) fields.nested("limits").integer("sockets"),
+                EndpointList.of(fields.nested("known")),
+                PolicySettingsReader.read(fields.nested("settings"))),
             () -> {});
-    address = node.start();
-    until(() -> up() == 200);
+    address = server.start();
+    waitUntil(() -> readinessStatus() == 200);
   }
 
-  private int up() {
+  private int readinessStatus() {
     try (TestClient client = new TestClient(address)) {
-      return client.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status();
+      return client.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status();
     } catch (java.io.IOException e) {
       return 0;
     }
   }
 
-  /** The configuration of a balancer whose list names these upstreams s-0, s-1 and so on. */
-  public static String json(
-      InetSocketAddress discovery, int maxAttempts, FakeUpstream... upstreams) {
+  /** The configuration of a proxy whose endpoint list names these upstreams s-0, s-1, ... */
+  public static String configurationJson(
+      InetSocketAddress discovery, int maxAttempts, FakeHttpServer... upstreams) {
     StringBuilder known = new StringBuilder();
     for (int i = 0; i < upstreams.length; i++) {
       known
           .append(i == 0 ? "" : ",")
-          .append(endpoint("s-" + i, upstreams[i].address(), "in_service"));
+          .append(endpointJson("s-" + i, upstreams[i].address(), "in_service"));
     }
     return """
 {"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
@@ -72,40 +77,42 @@
   "contract":{"drain-grace-ns":2000000000,"answer-slack-ns":8000000,"cold-from":0.3,
    "overload-for-ns":3000000000,"fall-multiple":3.0}}}
 """
-        .formatted(text(discovery), known, maxAttempts);
+        .formatted(hostAndPort(discovery), known, maxAttempts);
   }
 
-  public static String endpoint(String name, InetSocketAddress address, String status) {
+  /** One entry of an endpoint list in the form of the discovery service. */
+  public static String endpointJson(String name, InetSocketAddress address, String status) {
     return "{\"name\":\""
         + name
         + "\",\"address\":\""
-        + text(address)
+        + hostAndPort(address)
         + "\",\"zone\":\"a\",\"type\":\"t\",\"group\":1,"
         + "\"status\":\""
         + status
         + "\",\"weight\":1.0,\"since_ms\":0}";
   }
 
-  static String text(InetSocketAddress address) {
+  /** An address as the configuration writes it: ADDRESS:PORT. */
+  static String hostAndPort(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
   /** An address on which nothing listens. */
-  public static InetSocketAddress nowhere() {
+  public static InetSocketAddress unreachableAddress() {
     return new InetSocketAddress(java.net.InetAddress.getLoopbackAddress(), 1);
   }
 
-  /** Waits for a condition, with a limit that only a hang reaches. */
-  public static void until(BooleanSupplier condition) throws InterruptedException {
-    long end = System.nanoTime() + GENEROUS_NANOS;
-    while (!condition.getAsBoolean() && System.nanoTime() < end) {
+  /** Waits for a condition; fails the test after 30 s, which only a hang reaches. */
+  public static void waitUntil(BooleanSupplier condition) throws InterruptedException {
+    long deadlineNanos = System.nanoTime() + WAIT_LIMIT_NANOS;
+    while (!condition.getAsBoolean() && System.nanoTime() < deadlineNanos) {
       Thread.sleep(5);
     }
-    assertTrue(condition.getAsBoolean(), "a condition that was waited for");
+    assertTrue(condition.getAsBoolean(), "the awaited condition did not hold in time");
   }
 
-  /** Waits on a loop's own thread, which a test has stopped so that it falls behind. */
-  static void await(CountDownLatch latch) {
+  /** Waits for a latch, as a task that blocks an event loop does; an interrupt ends the wait. */
+  static void awaitUninterruptibly(CountDownLatch latch) {
     try {
       latch.await();
     } catch (InterruptedException e) {
--- a/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
@@ -41,7 +41,7 @@
 import loadbalancer.policy.event.RequestArrived;
 import loadbalancer.policy.event.TimerFired;
 import loadbalancer.policy.settings.PolicySettings;
-import loadbalancer.proxy.FakeUpstream;
+import loadbalancer.proxy.FakeHttpServer;
 import loadbalancer.proxy.TestProxy;
 import loadbalancer.proxy.http.ClientRequest;
 import loadbalancer.proxy.http.RequestMessage;
@@ -99,11 +99,11 @@
         }
       };
 
-  private void start(Module module, FakeUpstream... upstreams) throws Exception {
+  private void start(Module module, FakeHttpServer... upstreams) throws Exception {
     JsonObjectReader f =
         JsonObjectReader.parse(
             "configuration",
-            TestProxy.json(TestProxy.nowhere(), 3, upstreams)
+            TestProxy.configurationJson(TestProxy.unreachableAddress(), 3, upstreams)
                 .replace("\"drain-grace-ns\":2000000000", "\"drain-grace-ns\":" + drainGrace));
     settings = PolicySettingsReader.read(f.nested("settings"));
     UpstreamConnectionPools pool =
@@ -211,7 +211,7 @@
 
   @Test
   void answerForTheModulePromisesNothingOnceTheRequestMayHaveRun() throws Exception {
-    try (FakeUpstream upstream = new FakeUpstream((request, connection, out) -> {})) {
+    try (FakeHttpServer upstream = new FakeHttpServer((request, connection, out) -> {})) {
       start(RequestCoordinatorTest::sendOnRequest, upstream);
       take("1", "order", 1_000);
       assertEquals("failed", answer());
@@ -220,11 +220,11 @@
 
   @Test
   void lateOutcomeStillGoesToTheModuleAndTheClientHearsNothingMore() throws Exception {
-    try (FakeUpstream upstream =
-        new FakeUpstream(
+    try (FakeHttpServer upstream =
+        new FakeHttpServer(
             (request, connection, out) -> {
-              TestProxy.until(() -> !answers.isEmpty());
-              FakeUpstream.write(out, FakeUpstream.ok("late"));
+              TestProxy.waitUntil(() -> !answers.isEmpty());
+              FakeHttpServer.write(out, FakeHttpServer.okResponse("late"));
             })) {
       start(
           (event, out) -> {
@@ -251,7 +251,7 @@
   @Test
   void pauseOfTheLoopIsNotTheUpstreamsLatency() throws Exception {
     long pause = 2_000_000_000L;
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       start(RequestCoordinatorTest::sendOnRequest, upstream);
       take("1", "look", 15_000);
       outcome();
@@ -281,14 +281,14 @@
   @Test
   void resetOfAKeptConnectionTellsOfTheConnectionAndOfANewOneOfTheUpstream() throws Exception {
     AtomicBoolean broken = new AtomicBoolean();
-    try (FakeUpstream upstream =
-        new FakeUpstream(
+    try (FakeHttpServer upstream =
+        new FakeHttpServer(
             (request, connection, out) -> {
               if (broken.get()) {
                 connection.setSoLinger(true, 0);
                 connection.close();
               } else {
-                FakeUpstream.write(out, FakeUpstream.ok("fine"));
+                FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
               }
             })) {
       start(RequestCoordinatorTest::sendOnRequest, upstream);
@@ -306,7 +306,7 @@
 
   @Test
   void clientThatHasLeftUnseenEndsItsRequestWhereItWouldBeSent() throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       start(RequestCoordinatorTest::sendOnRequest, upstream);
       here = false;
       take("1", "look", 15_000);
@@ -324,7 +324,7 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void clientThatLeavesBeforeTheConnectionIsUpIsNotSentOn(boolean cancels) throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       start(
           (event, out) -> {
             sendOnRequest(event, out);
@@ -414,7 +414,7 @@
   @ParameterizedTest
   @ValueSource(longs = {0, 100_000_000, 2_000_000_000})
   void leavingUpstreamGetsNothingNewAndTheOutcomeIsNotNested(long grace) throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       drainGrace = grace;
       start(RequestCoordinatorTest::sendOnRequest, upstream);
       take("1", "look", 15_000);
@@ -434,7 +434,7 @@
   /** The connect may take longer than the grace. */
   @Test
   void upstreamThatLeavesWhileTheConnectionComesUpGetsNothing() throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       start(RequestCoordinatorTest::sendOnRequest, upstream);
       take("1", "look", 15_000, () -> core.news(leaving(upstream)));
       assertEquals(AttemptStatus.NOT_SENT, outcome().status());
@@ -447,15 +447,15 @@
   @ValueSource(booleans = {false, true})
   void upstreamThatTheListDropsStillAnswersWhatItHas(boolean whole) throws Exception {
     CountDownLatch dropped = new CountDownLatch(1);
-    try (FakeUpstream upstream =
-        new FakeUpstream(
+    try (FakeHttpServer upstream =
+        new FakeHttpServer(
             (request, connection, out) -> {
               dropped.await();
-              FakeUpstream.write(out, FakeUpstream.ok("fine"));
+              FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
             })) {
       start(RequestCoordinatorTest::sendOnRequest, upstream);
       take("1", "order", 15_000);
-      TestProxy.until(() -> upstream.requests.size() == 1);
+      TestProxy.waitUntil(() -> upstream.requests.size() == 1);
       EndpointDescriptor gone =
           new EndpointDescriptor(UPSTREAM, "a", 1, EndpointStatus.REMOVED, 0, 1);
       loop.submit(
@@ -470,11 +470,11 @@
           .get();
       dropped.countDown();
       assertEquals("served", answer());
-      TestProxy.until(() -> upstream.closedByPeer.get() == 1);
+      TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
     }
   }
 
-  private static EndpointList leaving(FakeUpstream upstream) {
+  private static EndpointList leaving(FakeHttpServer upstream) {
     return new EndpointList(
         8,
         false,
@@ -488,10 +488,10 @@
   void repeatAfterTheKeyedWindowIsNotSent() throws Exception {
     Consumer<Consumer<Action>> again =
         out -> out.accept(new ForwardAttempt("1", UPSTREAM, 15_000_000_000L));
-    try (FakeUpstream upstream =
-        new FakeUpstream(
+    try (FakeHttpServer upstream =
+        new FakeHttpServer(
             (request, connection, out) ->
-                FakeUpstream.write(out, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"))) {
+                FakeHttpServer.write(out, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"))) {
       start(
           (event, out) -> {
             if (event instanceof RequestArrived || event instanceof TimerFired) {
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -34,7 +34,7 @@
 import loadbalancer.policy.event.EndpointListUpdate;
 import loadbalancer.policy.event.TimerFired;
 import loadbalancer.policy.settings.PolicySettings;
-import loadbalancer.proxy.FakeUpstream;
+import loadbalancer.proxy.FakeHttpServer;
 import loadbalancer.proxy.IdleClients;
 import loadbalancer.proxy.ManualEventLoop;
 import loadbalancer.proxy.TestClient;
@@ -63,7 +63,7 @@
   private final ManualEventLoop clock = new ManualEventLoop();
 
   private static void chunk(OutputStream out, String text) throws Exception {
-    FakeUpstream.write(out, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+    FakeHttpServer.write(out, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
   }
 
   private static String list(long index, boolean whole, String... endpoints) {
@@ -110,14 +110,14 @@
 
   @Test
   void linesMayBeSplitAnywhereAndTheNextWatchAsksForWhatCameAfter() throws Exception {
-    try (FakeUpstream server =
-        new FakeUpstream(
+    try (FakeHttpServer server =
+        new FakeHttpServer(
             (request, connection, out) -> {
-              FakeUpstream.write(out, HEAD);
+              FakeHttpServer.write(out, HEAD);
               for (char c : ("\n" + list(8, true) + "\n\n" + list(9, false)).toCharArray()) {
                 chunk(out, String.valueOf(c));
               }
-              FakeUpstream.write(out, "0\r\n\r\n");
+              FakeHttpServer.write(out, "0\r\n\r\n");
             })) {
       DiscoveryClient discovery = discovery(server.address(), 60_000);
       assertEquals(8, ((EndpointList) next()).version());
@@ -154,10 +154,10 @@
         """
             .replace("\n", end);
     String second = list(9, false).replace("{", "{" + end).replace(",", "," + end + "\t");
-    try (FakeUpstream server =
-        new FakeUpstream(
+    try (FakeHttpServer server =
+        new FakeHttpServer(
             (request, connection, out) -> {
-              FakeUpstream.write(out, HEAD);
+              FakeHttpServer.write(out, HEAD);
               chunk(out, end + first + second + end + first.replace("8", "10").substring(0, 40));
               chunk(out, first.replace("8", "10").substring(40) + end);
             })) {
@@ -176,10 +176,10 @@
    */
   @Test
   void listThatStopsHalfwayIsSilenceThoughHeartbeatsGoOn() throws Exception {
-    try (FakeUpstream server =
-        new FakeUpstream(
+    try (FakeHttpServer server =
+        new FakeHttpServer(
             (request, connection, out) -> {
-              FakeUpstream.write(out, HEAD);
+              FakeHttpServer.write(out, HEAD);
               chunk(out, list(8, true));
               chunk(out, "{\"index\": 9,\n");
               while (true) {
@@ -190,18 +190,18 @@
       discovery(server.address(), 1_000);
       assertEquals(8, ((EndpointList) next()).version());
       assertEquals("failed", next());
-      TestProxy.until(() -> server.closedByPeer.get() == 1);
+      TestProxy.waitUntil(() -> server.connectionsClosedByPeer.get() == 1);
       assertTrue(heard.isEmpty());
     }
   }
 
   @Test
   void silentWatchFailsOnceAndIsClosed() throws Exception {
-    try (FakeUpstream server =
-        new FakeUpstream((request, connection, out) -> FakeUpstream.write(out, HEAD))) {
+    try (FakeHttpServer server =
+        new FakeHttpServer((request, connection, out) -> FakeHttpServer.write(out, HEAD))) {
       discovery(server.address(), 200);
       assertEquals("failed", next());
-      TestProxy.until(() -> server.closedByPeer.get() == 1);
+      TestProxy.waitUntil(() -> server.connectionsClosedByPeer.get() == 1);
       assertTrue(heard.isEmpty());
     }
   }
@@ -210,11 +210,11 @@
   @ParameterizedTest
   @ValueSource(strings = {"", "HTTP/1.1 200", HEAD, HEAD + "1", HEAD + "12\r\n{\"index\": 8,"})
   void callThatTellsNothingEndsBeforeAWatchWouldBeSilent(String text) throws Exception {
-    try (FakeUpstream server =
-        new FakeUpstream((request, connection, out) -> FakeUpstream.write(out, text))) {
+    try (FakeHttpServer server =
+        new FakeHttpServer((request, connection, out) -> FakeHttpServer.write(out, text))) {
       discovery(server.address(), 200, 60_000);
       assertEquals("failed", next());
-      TestProxy.until(() -> server.closedByPeer.get() == 1);
+      TestProxy.waitUntil(() -> server.connectionsClosedByPeer.get() == 1);
       assertTrue(heard.isEmpty());
     }
   }
@@ -247,20 +247,20 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void watchThatHasToldSomethingIsCutOnlyOnceItIsSilent(boolean heartbeat) throws Exception {
-    try (FakeUpstream server =
-        new FakeUpstream(
+    try (FakeHttpServer server =
+        new FakeHttpServer(
             (request, connection, out) -> {
-              FakeUpstream.write(out, HEAD);
+              FakeHttpServer.write(out, HEAD);
               chunk(out, heartbeat ? "\n" : list(8, true));
             })) {
       clocked(server.address());
-      TestProxy.until(() -> clock.untilNext() == SILENCE);
+      TestProxy.waitUntil(() -> clock.millisToNextTimer() == SILENCE);
       if (!heartbeat) {
         assertEquals(8, ((EndpointList) next()).version());
       }
-      clock.pass(SILENCE - 1);
+      clock.advance(SILENCE - 1);
       assertTrue(heard.isEmpty());
-      clock.pass(1);
+      clock.advance(1);
       assertEquals("failed", next());
     }
   }
@@ -268,23 +268,23 @@
   @Test
   void longFirstListIsNotCutAsLongAsMoreOfItComes() throws Exception {
     Semaphore more = new Semaphore(0);
-    try (FakeUpstream server =
-        new FakeUpstream(
+    try (FakeHttpServer server =
+        new FakeHttpServer(
             (request, connection, out) -> {
-              FakeUpstream.write(out, HEAD);
+              FakeHttpServer.write(out, HEAD);
               for (String part : list(8, true).split("(?<=,)")) {
                 more.acquire();
                 chunk(out, part);
               }
             })) {
       clocked(server.address());
-      TestProxy.until(() -> server.requests.size() == 1);
+      TestProxy.waitUntil(() -> server.requests.size() == 1);
       for (int part = 0; part < 2; part++) {
-        clock.pass(CALL - 1);
+        clock.advance(CALL - 1);
         more.release();
-        TestProxy.until(() -> clock.untilNext() == CALL);
+        TestProxy.waitUntil(() -> clock.millisToNextTimer() == CALL);
       }
-      clock.pass(CALL - 1);
+      clock.advance(CALL - 1);
       more.release();
       assertEquals(8, ((EndpointList) next()).version());
     }
@@ -297,10 +297,10 @@
   @Test
   void firstListThatNeverEndsIsCutThoughMoreOfItComes() throws Exception {
     Semaphore more = new Semaphore(0);
-    try (FakeUpstream server =
-        new FakeUpstream(
+    try (FakeHttpServer server =
+        new FakeHttpServer(
             (request, connection, out) -> {
-              FakeUpstream.write(out, HEAD);
+              FakeHttpServer.write(out, HEAD);
               chunk(out, "{\"snapshot\": \"");
               while (true) {
                 more.acquire();
@@ -308,20 +308,20 @@
               }
             })) {
       clocked(server.address());
-      TestProxy.until(() -> server.requests.size() == 1);
+      TestProxy.waitUntil(() -> server.requests.size() == 1);
       long step = CALL / 2;
       for (long past = step; past <= SILENCE - CALL; past += step) {
-        clock.pass(step);
+        clock.advance(step);
         more.release();
-        TestProxy.until(() -> clock.untilNext() == CALL);
+        TestProxy.waitUntil(() -> clock.millisToNextTimer() == CALL);
       }
-      clock.pass(CALL - 1);
+      clock.advance(CALL - 1);
       more.release();
       long left = SILENCE % step + 1;
-      TestProxy.until(() -> clock.untilNext() == left);
-      clock.pass(left - 1);
+      TestProxy.waitUntil(() -> clock.millisToNextTimer() == left);
+      clock.advance(left - 1);
       assertTrue(heard.isEmpty());
-      clock.pass(1);
+      clock.advance(1);
       assertEquals("failed", next());
     }
   }
@@ -333,14 +333,14 @@
   @ValueSource(booleans = {false, true})
   void firstListThatStopsHalfwayEndsItsCallThoughHeartbeatsGoOn(boolean withHead) throws Exception {
     String part = "{\"index\": 8,\n";
-    try (FakeUpstream server =
-        new FakeUpstream(
+    try (FakeHttpServer server =
+        new FakeHttpServer(
             (request, connection, out) -> {
               if (withHead) {
-                FakeUpstream.write(
+                FakeHttpServer.write(
                     out, HEAD + Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
               } else {
-                FakeUpstream.write(out, HEAD);
+                FakeHttpServer.write(out, HEAD);
                 Thread.sleep(20);
                 chunk(out, part);
               }
@@ -351,7 +351,7 @@
             })) {
       discovery(server.address(), 500, 60_000);
       assertEquals("failed", next());
-      TestProxy.until(() -> server.closedByPeer.get() == 1);
+      TestProxy.waitUntil(() -> server.connectionsClosedByPeer.get() == 1);
     }
   }
 
@@ -381,7 +381,8 @@
   private static long longestBackOffMillis() throws Exception {
     PolicySettings settings =
         PolicySettingsReader.read(
-            JsonObjectReader.parse("configuration", TestProxy.json(TestProxy.nowhere(), 1))
+            JsonObjectReader.parse(
+                    "configuration", TestProxy.configurationJson(TestProxy.unreachableAddress(), 1))
                 .nested("settings"));
     assertTrue(settings.endpointListPolled());
     long longest = 0;
@@ -407,10 +408,10 @@
 
   @Test
   void refusalIsAFailure() throws Exception {
-    try (FakeUpstream server =
-        new FakeUpstream(
+    try (FakeHttpServer server =
+        new FakeHttpServer(
             (request, connection, out) ->
-                FakeUpstream.write(out, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
+                FakeHttpServer.write(out, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
       discovery(server.address(), 60_000);
       assertEquals("failed", next());
       assertTrue(heard.isEmpty());
@@ -420,22 +421,22 @@
   @ParameterizedTest
   @ValueSource(strings = {"{\"index\":}\n", "{\"index\":8}\n", "nonsense\n", "[{]}\n", "}\n"})
   void malformedListIsAFailure(String text) throws Exception {
-    try (FakeUpstream server =
-        new FakeUpstream(
+    try (FakeHttpServer server =
+        new FakeHttpServer(
             (request, connection, out) -> {
-              FakeUpstream.write(out, HEAD);
+              FakeHttpServer.write(out, HEAD);
               chunk(out, text);
             })) {
       discovery(server.address(), 60_000);
       assertEquals("failed", next());
-      TestProxy.until(() -> server.closedByPeer.get() == 1);
+      TestProxy.waitUntil(() -> server.connectionsClosedByPeer.get() == 1);
       assertTrue(heard.isEmpty());
     }
   }
 
   @Test
   void nobodyThereIsAFailure() throws Exception {
-    discovery(TestProxy.nowhere(), 60_000);
+    discovery(TestProxy.unreachableAddress(), 60_000);
     assertEquals("failed", next());
   }
 
@@ -445,10 +446,10 @@
    */
   @Test
   void noDescriptorForASocketIsAFailureAndTheNextCallIsMade() throws Exception {
-    try (FakeUpstream server =
-        new FakeUpstream(
+    try (FakeHttpServer server =
+        new FakeHttpServer(
             (request, connection, out) -> {
-              FakeUpstream.write(out, HEAD);
+              FakeHttpServer.write(out, HEAD);
               chunk(out, list(8, true));
             })) {
       AtomicInteger left = new AtomicInteger(1);
@@ -476,21 +477,21 @@
 
   @Test
   void moveAsksTheNewOneForAllAtOnceAndIsNobodysFailure() throws Exception {
-    try (FakeUpstream before =
-            new FakeUpstream((request, connection, out) -> FakeUpstream.write(out, HEAD));
-        FakeUpstream after =
-            new FakeUpstream(
+    try (FakeHttpServer before =
+            new FakeHttpServer((request, connection, out) -> FakeHttpServer.write(out, HEAD));
+        FakeHttpServer after =
+            new FakeHttpServer(
                 (request, connection, out) -> {
-                  FakeUpstream.write(out, HEAD);
+                  FakeHttpServer.write(out, HEAD);
                   chunk(out, list(3, true));
                 })) {
       DiscoveryClient discovery = discovery(before.address(), 60_000);
-      TestProxy.until(() -> before.requests.size() == 1);
+      TestProxy.waitUntil(() -> before.requests.size() == 1);
       loop.execute(() -> discovery.moveTo(after.address()));
       assertEquals(3, ((EndpointList) next()).version());
       assertTrue(
           after.requests.get(0).startsWith("GET /discovery/hosts?watch=1 "), after.requests.get(0));
-      TestProxy.until(() -> before.closedByPeer.get() == 1);
+      TestProxy.waitUntil(() -> before.connectionsClosedByPeer.get() == 1);
       loop.execute(() -> discovery.watch(true));
       loop.submit(() -> {}).get();
       assertTrue(heard.isEmpty(), "the old one's end is no failure");
@@ -500,13 +501,13 @@
 
   @Test
   void moveDuringTheBackOffDoesNotWaitForItsEnd() throws Exception {
-    try (FakeUpstream after =
-        new FakeUpstream(
+    try (FakeHttpServer after =
+        new FakeHttpServer(
             (request, connection, out) -> {
-              FakeUpstream.write(out, HEAD);
+              FakeHttpServer.write(out, HEAD);
               chunk(out, list(3, true));
             })) {
-      DiscoveryClient discovery = discovery(TestProxy.nowhere(), 60_000);
+      DiscoveryClient discovery = discovery(TestProxy.unreachableAddress(), 60_000);
       assertEquals("failed", next());
       loop.execute(() -> discovery.moveTo(after.address()));
       assertEquals(3, ((EndpointList) next()).version(), "though nobody has asked again");
@@ -516,14 +517,14 @@
   /** Guards the rule on SIGHUP: only a call that ends can be followed by another one in time. */
   @Test
   void moveToAnAddressThatIsSilentEndsLikeAnyCallAndIsAskedAgain() throws Exception {
-    try (FakeUpstream after = new FakeUpstream((request, connection, out) -> {})) {
-      DiscoveryClient discovery = discovery(TestProxy.nowhere(), 500, 60_000);
+    try (FakeHttpServer after = new FakeHttpServer((request, connection, out) -> {})) {
+      DiscoveryClient discovery = discovery(TestProxy.unreachableAddress(), 500, 60_000);
       assertEquals("failed", next());
       loop.execute(() -> discovery.moveTo(after.address()));
       assertEquals("failed", next());
-      after.behaviour =
+      after.requestHandler =
           (request, connection, out) -> {
-            FakeUpstream.write(out, HEAD);
+            FakeHttpServer.write(out, HEAD);
             chunk(out, list(3, true));
           };
       loop.execute(() -> discovery.watch(true));
@@ -533,32 +534,36 @@
 
   @Test
   void nodeFollowsAnAddressThatMovedAndAsksAgainAfterAFailure() throws Exception {
-    try (FakeUpstream before = FakeUpstream.serving("before");
-        FakeUpstream after = FakeUpstream.serving("after");
-        FakeUpstream server =
-            new FakeUpstream(
+    try (FakeHttpServer before = FakeHttpServer.respondingWith("before");
+        FakeHttpServer after = FakeHttpServer.respondingWith("after");
+        FakeHttpServer server =
+            new FakeHttpServer(
                 (request, connection, out) ->
-                    FakeUpstream.write(out, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
+                    FakeHttpServer.write(out, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
       TestProxy node = new TestProxy(server.address(), 1, before);
       try (TestClient client = new TestClient(node.address)) {
-        assertEquals("before", client.call(TestClient.look("1", 15_000, "")).body());
-        server.behaviour =
+        assertEquals(
+            "before", client.exchange(TestClient.idempotentRequest("1", 15_000, "")).body());
+        server.requestHandler =
             (request, connection, out) -> {
-              FakeUpstream.write(out, HEAD);
-              chunk(out, list(8, false, TestProxy.endpoint("s-0", after.address(), "in_service")));
+              FakeHttpServer.write(out, HEAD);
+              chunk(
+                  out,
+                  list(8, false, TestProxy.endpointJson("s-0", after.address(), "in_service")));
             };
-        TestProxy.until(() -> before.closedByPeer.get() == 1);
-        assertEquals("after", client.call(TestClient.look("2", 15_000, "")).body());
+        TestProxy.waitUntil(() -> before.connectionsClosedByPeer.get() == 1);
+        assertEquals(
+            "after", client.exchange(TestClient.idempotentRequest("2", 15_000, "")).body());
       }
     }
   }
 
   static Stream<Arguments> crowds() {
     String[][] crowds = {
-      {IdleClients.NOTHING},
-      {IdleClients.ASKS_ONCE},
-      {IdleClients.HALF_A_HEAD},
-      {IdleClients.NOTHING, IdleClients.ASKS_ONCE, IdleClients.HALF_A_HEAD}
+      {IdleClients.NO_BYTES},
+      {IdleClients.READINESS_REQUEST},
+      {IdleClients.PARTIAL_HEAD},
+      {IdleClients.NO_BYTES, IdleClients.READINESS_REQUEST, IdleClients.PARTIAL_HEAD}
     };
     return Stream.of(crowds).flatMap(c -> Stream.of(Arguments.of(true, c), Arguments.of(false, c)));
   }
@@ -571,38 +576,40 @@
   @MethodSource("crowds")
   void watchComesBackAndClientsAreServedThoughIdleOnesFillTheSockets(boolean silent, String[] crowd)
       throws Exception {
-    try (FakeUpstream before = FakeUpstream.serving("before");
-        FakeUpstream after = FakeUpstream.serving("after");
-        FakeUpstream server =
-            new FakeUpstream((request, connection, out) -> FakeUpstream.write(out, HEAD))) {
+    try (FakeHttpServer before = FakeHttpServer.respondingWith("before");
+        FakeHttpServer after = FakeHttpServer.respondingWith("after");
+        FakeHttpServer server =
+            new FakeHttpServer((request, connection, out) -> FakeHttpServer.write(out, HEAD))) {
       TestProxy node =
           new TestProxy(
-              TestProxy.json(server.address(), 1, before)
+              TestProxy.configurationJson(server.address(), 1, before)
                   .replace("\"sockets\":1024", "\"sockets\":256"));
-      TestProxy.until(() -> server.requests.size() == 1);
+      TestProxy.waitUntil(() -> server.requests.size() == 1);
       try (IdleClients idle = new IdleClients(node.address, 600, true, crowd)) {
-        TestProxy.until(() -> idle.ended.get() > 0);
+        TestProxy.waitUntil(() -> idle.closedByServer.get() > 0);
         if (!silent) {
-          server.behaviour = (request, connection, out) -> connection.close();
+          server.requestHandler = (request, connection, out) -> connection.close();
           server.connections.get(0).close();
-          TestProxy.until(() -> server.requests.size() > 2);
+          TestProxy.waitUntil(() -> server.requests.size() > 2);
         }
-        server.behaviour =
+        server.requestHandler =
             (request, connection, out) -> {
-              FakeUpstream.write(out, HEAD);
-              chunk(out, list(8, false, TestProxy.endpoint("s-0", after.address(), "in_service")));
+              FakeHttpServer.write(out, HEAD);
+              chunk(
+                  out,
+                  list(8, false, TestProxy.endpointJson("s-0", after.address(), "in_service")));
             };
         int watches = server.requests.size();
         for (int i = 0; server.requests.size() == watches; i++) {
           assertEquals(
               200,
-              answerTo(node, TestClient.look("d" + i, 15_000, "")).status(),
+              answerTo(node, TestClient.idempotentRequest("d" + i, 15_000, "")).status(),
               "with the list it knows");
         }
         int[] calls = {0};
-        TestProxy.until(
+        TestProxy.waitUntil(
             () ->
-                answerTo(node, TestClient.look("l" + calls[0]++, 15_000, ""))
+                answerTo(node, TestClient.idempotentRequest("l" + calls[0]++, 15_000, ""))
                     .body()
                     .equals("after"));
         assertEquals(200, answerTo(node, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
@@ -611,9 +618,9 @@
   }
 
   /** The answer to a new client's first request. */
-  private static TestClient.Reply answerTo(TestProxy node, String request) {
+  private static TestClient.Response answerTo(TestProxy node, String request) {
     try (TestClient client = new TestClient(node.address)) {
-      return client.call(request);
+      return client.exchange(request);
     } catch (IOException e) {
       throw new AssertionError("a client was turned away", e);
     }
@@ -622,10 +629,10 @@
   @ParameterizedTest
   @ValueSource(strings = {"pushed", "on_request"})
   void nodeFollowsTheListHoweverTheSettingsSayThatItComes(String mode) throws Exception {
-    try (FakeUpstream server =
-        new FakeUpstream((request, connection, out) -> FakeUpstream.write(out, HEAD))) {
-      new TestProxy(TestProxy.json(server.address(), 1).replace("on_request", mode));
-      TestProxy.until(() -> server.requests.size() == 1);
+    try (FakeHttpServer server =
+        new FakeHttpServer((request, connection, out) -> FakeHttpServer.write(out, HEAD))) {
+      new TestProxy(TestProxy.configurationJson(server.address(), 1).replace("on_request", mode));
+      TestProxy.waitUntil(() -> server.requests.size() == 1);
       assertTrue(
           server.requests.get(0).startsWith("GET /discovery/hosts?watch=1&after=7 "),
           server.requests.get(0));
@@ -634,20 +641,21 @@
 
   @Test
   void upstreamAbsentFromAWholeListGetsNothingMore() throws Exception {
-    try (FakeUpstream kept = FakeUpstream.serving("kept");
-        FakeUpstream gone = FakeUpstream.serving("gone");
-        FakeUpstream server =
-            new FakeUpstream(
+    try (FakeHttpServer kept = FakeHttpServer.respondingWith("kept");
+        FakeHttpServer gone = FakeHttpServer.respondingWith("gone");
+        FakeHttpServer server =
+            new FakeHttpServer(
                 (request, connection, out) -> {
-                  FakeUpstream.write(out, HEAD);
+                  FakeHttpServer.write(out, HEAD);
                   chunk(
-                      out, list(8, true, TestProxy.endpoint("s-0", kept.address(), "in_service")));
+                      out,
+                      list(8, true, TestProxy.endpointJson("s-0", kept.address(), "in_service")));
                 })) {
       TestProxy node = new TestProxy(server.address(), 1, kept, gone);
-      TestProxy.until(() -> server.requests.size() == 1);
+      TestProxy.waitUntil(() -> server.requests.size() == 1);
       try (TestClient client = new TestClient(node.address)) {
         int[] calls = {0};
-        TestProxy.until(() -> allKept(client, calls));
+        TestProxy.waitUntil(() -> allKept(client, calls));
       }
     }
   }
@@ -658,8 +666,9 @@
       boolean all = true;
       for (int i = 0; i < 20; i++) {
         String request =
-            TestClient.look("l" + calls[0]++, 15_000, "").replace("Key: k", "Key: k" + i);
-        all &= client.call(request).body().equals("kept");
+            TestClient.idempotentRequest("l" + calls[0]++, 15_000, "")
+                .replace("Key: k", "Key: k" + i);
+        all &= client.exchange(request).body().equals("kept");
       }
       return all;
     } catch (IOException e) {
--- a/src/test/java/loadbalancer/proxy/lifecycle/WarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/WarmUpTest.java
@@ -49,7 +49,8 @@
   @Test
   void slowCoreDoesNotCutTheWarmUpShort() throws Exception {
     JsonObjectReader f =
-        JsonObjectReader.parse("configuration", TestProxy.json(TestProxy.nowhere(), 1));
+        JsonObjectReader.parse(
+            "configuration", TestProxy.configurationJson(TestProxy.unreachableAddress(), 1));
     var settings = PolicySettingsReader.read(f.nested("settings"));
     EventLoopLag lag = new EventLoopLag(loop);
     UpstreamConnectionPools pool =
--- a/src/test/java/loadbalancer/proxy/upstream/EndpointTableTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/EndpointTableTest.java
@@ -29,7 +29,7 @@
 
   private static EndpointList.Host host(long id, EndpointStatus state) {
     return new EndpointList.Host(
-        TestProxy.nowhere(), new EndpointDescriptor(id, "a", 1, state, 0, 1));
+        TestProxy.unreachableAddress(), new EndpointDescriptor(id, "a", 1, state, 0, 1));
   }
 
   @AfterEach
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolsTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolsTest.java
@@ -16,7 +16,7 @@
 import loadbalancer.policy.settings.DeduplicationScope;
 import loadbalancer.policy.settings.RequestClass;
 import loadbalancer.policy.settings.RequestEffect;
-import loadbalancer.proxy.FakeUpstream;
+import loadbalancer.proxy.FakeHttpServer;
 import loadbalancer.proxy.TestProxy;
 import loadbalancer.proxy.http.ClientRequest;
 import loadbalancer.proxy.http.RequestMessage;
@@ -78,12 +78,13 @@
   void secondCopyRightBehindAnAnswerIsNotTheNextSendsAnswer() throws Exception {
     // The next send starts from within the first one's outcome, as a module does that had a request
     // waiting.
-    try (FakeUpstream upstream =
-        new FakeUpstream(
+    try (FakeHttpServer upstream =
+        new FakeHttpServer(
             (request, connection, out) -> {
               String answer =
-                  FakeUpstream.ok(request.contains("X-Correlation-Id: 1\n") ? "mine" : "next");
-              FakeUpstream.write(out, answer + answer);
+                  FakeHttpServer.okResponse(
+                      request.contains("X-Correlation-Id: 1\n") ? "mine" : "next");
+              FakeHttpServer.write(out, answer + answer);
             })) {
       EndpointConnectionPool pool = of(pool(LONG, 10), upstream.address());
       BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
@@ -118,7 +119,7 @@
 
   @Test
   void sendThatIsOverWhenTheConnectionIsUpWritesNothingAndLeavesItForTheNext() throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       EndpointConnectionPool pool = of(pool(LONG, 10), upstream.address());
       attempt(pool, false);
       assertEquals(AttemptStatus.NOT_SENT, outcome());
@@ -131,18 +132,18 @@
 
   @Test
   void idleConnectionIsClosedBeforeTheUpstreamWould() throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       attempt(of(pool(100_000_000L, 10), upstream.address()), true);
       assertEquals(AttemptStatus.SERVED, outcome());
-      TestProxy.until(() -> upstream.closedByPeer.get() == 1);
+      TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
     }
   }
 
   @Test
   void keptConnectionThatWasBrokenTakesThoseWithItThatWereKeptForLonger() throws Exception {
     AtomicInteger waiting = new AtomicInteger();
-    try (FakeUpstream upstream =
-        new FakeUpstream(
+    try (FakeHttpServer upstream =
+        new FakeHttpServer(
             (request, connection, out) -> {
               if (request.contains("X-Correlation-Id: break\n")) {
                 connection.setSoLinger(true, 0);
@@ -150,8 +151,8 @@
                 return;
               }
               waiting.incrementAndGet();
-              TestProxy.until(() -> waiting.get() == 3);
-              FakeUpstream.write(out, FakeUpstream.ok("fine"));
+              TestProxy.waitUntil(() -> waiting.get() == 3);
+              FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
             })) {
       EndpointConnectionPool pool = of(pool(LONG, 10), upstream.address());
       for (int i = 0; i < 3; i++) {
@@ -163,20 +164,21 @@
       loop.execute(
           () -> send(pool, "break", true, (attempt, status, answer) -> outcomes.add(status)));
       assertEquals(AttemptStatus.RESET, outcome());
-      TestProxy.until(() -> upstream.closedByPeer.get() == 3);
+      TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 3);
     }
   }
 
   @Test
   void atTheLimitAnIdleConnectionGivesWayAndABusyOneDoesNot() throws Exception {
-    try (FakeUpstream first = FakeUpstream.serving("fine");
-        FakeUpstream second = new FakeUpstream((r, c, out) -> {})) {
+    try (FakeHttpServer first = FakeHttpServer.respondingWith("fine");
+        FakeHttpServer second = new FakeHttpServer((r, c, out) -> {})) {
       UpstreamConnectionPools pool = pool(LONG, 1);
       EndpointConnectionPool toFirst = of(pool, first.address());
       attempt(toFirst, true);
       assertEquals(AttemptStatus.SERVED, outcome());
       attempt(of(pool, second.address()), true);
-      TestProxy.until(() -> first.closedByPeer.get() == 1 && second.requests.size() == 1);
+      TestProxy.waitUntil(
+          () -> first.connectionsClosedByPeer.get() == 1 && second.requests.size() == 1);
       attempt(toFirst, true);
       assertEquals(AttemptStatus.CONNECT_FAILED, outcome());
       assertEquals(1, first.requests.size());
@@ -189,7 +191,7 @@
    */
   @Test
   void attemptWithoutADescriptorForItsSocketFailsAtOnceAndTakesNoRoom() throws Exception {
-    try (FakeUpstream upstream = FakeUpstream.serving("fine")) {
+    try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       AtomicInteger left = new AtomicInteger(2);
       EndpointConnectionPool pool =
           of(
