--- a/src/test/java/loadbalancer/proxy/ClientConnectionLimitsTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientConnectionLimitsTest.java
@@ -198,7 +198,7 @@
     try {
       TestDownstreamServer side = new TestDownstreamServer(loop, event -> {});
       CountDownLatch behind = new CountDownLatch(1);
-      loop.execute(() -> TestProxy.awaitUninterruptibly(behind));
+      TestProxy.block(loop, behind);
       for (int i = 0; i < 2 * TestDownstreamServer.MAX_CONNECTIONS; i++) {
         crowd.add(new TestClient(side.address));
       }
--- a/src/test/java/loadbalancer/proxy/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientDisconnectTest.java
@@ -189,7 +189,7 @@
             client.exchange(TestClient.idempotentRequest("1", LEFT_MILLIS, "")).status(),
             "a connection is there now");
         CountDownLatch behind = new CountDownLatch(1);
-        loop.execute(() -> TestProxy.awaitUninterruptibly(behind));
+        TestProxy.block(loop, behind);
         client
             .send(TestClient.idempotentRequest("2", LEFT_MILLIS, ""))
             .send(more)
@@ -226,7 +226,7 @@
           client.send(TestClient.idempotentRequest("1", LEFT_MILLIS, ""));
           TestProxy.waitUntil(() -> upstream.requests.size() == 1);
           CountDownLatch behind = new CountDownLatch(1);
-          loop.execute(() -> TestProxy.awaitUninterruptibly(behind));
+          TestProxy.block(loop, behind);
           mayAnswer.countDown();
           if (!leavesFirst) {
             // The loop reads first what was there first: the outcome, and tries again ahead of the
@@ -347,7 +347,7 @@
       TestProxy.waitUntil(() -> ends.stream().anyMatch(ClientDisconnected.class::isInstance));
       room.run();
     } else {
-      loop.execute(() -> TestProxy.awaitUninterruptibly(behind));
+      TestProxy.block(loop, behind);
       room.run();
       client.disconnect(reset);
       behind.countDown();
@@ -401,7 +401,7 @@
                     TestClient.idempotentRequest("2", LEFT_MILLIS, "").replace("acme", "nobody"))
                 .status());
         CountDownLatch behind = new CountDownLatch(1);
-        loop.execute(() -> TestProxy.awaitUninterruptibly(behind));
+        TestProxy.block(loop, behind);
         client
             .send(TestClient.idempotentRequest("3", LEFT_MILLIS, ""))
             .send(more)
@@ -440,7 +440,7 @@
             unseen.exchange(TestClient.idempotentRequest("2", LEFT_MILLIS, "")).status(),
             "a connection is there now");
         CountDownLatch behind = new CountDownLatch(1);
-        loop.execute(() -> TestProxy.awaitUninterruptibly(behind));
+        TestProxy.block(loop, behind);
         unseen
             .send(TestClient.idempotentRequest("3", LEFT_MILLIS, "Connection: close\r\n"))
             .shutdownOutput();
@@ -476,7 +476,7 @@
         assertEquals(
             200, second.exchange(TestClient.idempotentRequest("2", LEFT_MILLIS, "")).status());
         CountDownLatch behind = new CountDownLatch(1);
-        loop.execute(() -> TestProxy.awaitUninterruptibly(behind));
+        TestProxy.block(loop, behind);
         first.send(TestClient.idempotentRequest("again", LEFT_MILLIS, "")).disconnect(reset);
         second.send(TestClient.idempotentRequest("again", LEFT_MILLIS, ""));
         behind.countDown();
--- a/src/test/java/loadbalancer/proxy/TestProxy.java
+++ b/src/test/java/loadbalancer/proxy/TestProxy.java
@@ -4,6 +4,8 @@
 
 import java.net.InetSocketAddress;
 import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.Executor;
+import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import loadbalancer.config.EndpointList;
 import loadbalancer.config.JsonObjectReader;
@@ -111,6 +113,21 @@
     assertTrue(condition.getAsBoolean(), "the awaited condition did not hold in time");
   }
 
+  /**
+   * Blocks an event loop until the latch is released. Returns once the loop's thread has entered
+   * the wait: a loop that is only about to enter it still reads what its sockets receive meanwhile.
+   */
+  static void block(Executor loop, CountDownLatch release) throws InterruptedException {
+    CountDownLatch entered = new CountDownLatch(1);
+    loop.execute(
+        () -> {
+          entered.countDown();
+          awaitUninterruptibly(release);
+        });
+    assertTrue(
+        entered.await(WAIT_LIMIT_NANOS, TimeUnit.NANOSECONDS), "the event loop did not block");
+  }
+
   /** Waits for a latch, as a task that blocks an event loop does; an interrupt ends the wait. */
   static void awaitUninterruptibly(CountDownLatch latch) {
     try {
