--- a/src/main/java/loadbalancer/policy/AdaptiveLoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/policy/AdaptiveLoadBalancingPolicy.java
@@ -230,7 +230,7 @@
   private final TreeSet<PendingRequest> held =
       new TreeSet<>(
           Comparator.<PendingRequest>comparingDouble(r -> -value(r))
-              .thenComparingLong(r -> r.arrived)
+              .thenComparingLong(r -> r.arrivedAtNanos)
               .thenComparing(r -> r.request.requestId()));
 
   private final Map<String, SlidingWindow> windows = new LinkedHashMap<>(64, 0.75f, true);
@@ -305,10 +305,10 @@
       onList(e);
     } else if (event instanceof ClientDisconnected e
         && open.containsKey(e.requestId())
-        && !open.get(e.requestId()).ended) {
+        && !open.get(e.requestId()).isFinal) {
       release(open.get(e.requestId()));
     } else if (event instanceof ResponseStarted e && open.get(e.requestId()) != null) {
-      open.get(e.requestId()).streaming = true;
+      open.get(e.requestId()).isStreaming = true;
     }
   }
 
@@ -343,17 +343,12 @@
       return;
     }
     boolean excess = overQuota(request.tenant());
-    String endpoint = request.className() + ' ' + request.tenant() + (excess ? " over" : "");
+    String name = request.className() + ' ' + request.tenant() + (excess ? " over" : "");
+    TrafficWindows windows =
+        new TrafficWindows(
+            excess, excess ? over : within, windowOf(name), windowOf(name + ' ' + request.key()));
     PendingRequest r =
-        new PendingRequest(
-            request,
-            type,
-            now,
-            excess,
-            excess ? over : within,
-            windowOf(endpoint),
-            windowOf(endpoint + ' ' + request.key()),
-            load(request.workHintNanos()));
+        new PendingRequest(request, type, now, load(request.workHintNanos()), windows);
     if (open.size() >= settings.limits().maxOpenRequests() || !admit(r)) {
       out.accept(new RejectRequest(request.requestId(), retryAfter()));
       return;
@@ -377,8 +372,10 @@
       return false;
     }
     TokenBucket quota = quotaTokens.computeIfAbsent(tenant, k -> new TokenBucket());
-    boolean over = quota.fill(now, rate, Math.max(QUOTA_LEAST, rate)) < 1;
-    quota.tokens -= over ? 0 : 1;
+    boolean over = quota.refill(now, rate, Math.max(QUOTA_LEAST, rate)) < 1;
+    if (!over) {
+      quota.take(1);
+    }
     return over;
   }
 
@@ -390,7 +387,7 @@
     SlidingWindow w = windows.computeIfAbsent(name, k -> new SlidingWindow(window, now));
     Iterator<SlidingWindow> idlest = windows.values().iterator();
     for (SlidingWindow idle = idlest.next();
-        idle != w && (idle.empty(now) || windows.size() > MAX_KEYS);
+        idle != w && (idle.isEmpty(now) || windows.size() > MAX_KEYS);
         idle = idlest.next()) {
       idlest.remove();
     }
@@ -409,21 +406,24 @@
   private boolean admit(PendingRequest r) {
     count(r, Metric.OFFERED, 1);
     SlidingWindow own =
-        r.key.total(now, Metric.SAMPLES) >= ENOUGH
-            ? r.key
-            : !sparse() || r.endpoint.total(now, Metric.SAMPLES) >= ENOUGH ? r.endpoint : r.share;
+        r.windows.key().total(now, Metric.SAMPLES) >= ENOUGH
+            ? r.windows.key()
+            : !sparse() || r.windows.classAndTenant().total(now, Metric.SAMPLES) >= ENOUGH
+                ? r.windows.classAndTenant()
+                : r.windows.quotaGroup();
     double mean = Math.max(own.mean(now, ENOUGH), fleet.mean(now, ENOUGH));
-    double maxRate = own.reach(now, Metric.OFFERED, ENOUGH) * HEADROOM;
-    double early = r.excess ? EXCESS_EARLY + (1 - EXCESS_EARLY) * settings.overQuotaWeight() : 1;
+    double maxRate = own.totalWithLookback(now, Metric.OFFERED, ENOUGH) * HEADROOM;
+    double early =
+        r.isOverQuota() ? EXCESS_EARLY + (1 - EXCESS_EARLY) * settings.overQuotaWeight() : 1;
     double allowed =
         allowedRate(mean, MIN_VALUE * early, MAX_VALUE * early, maxRate, maxRate * MIN_PART);
     // Guards work inside a quota from what this balancer did not cause: no more is out than while
     // healthy.
     boolean idle = quotaTokens.containsKey(r.request.tenant()) && readyLoad < usualInFlight * ready;
-    double admitted = own.reach(now, Metric.ADMITTED, ENOUGH);
+    double admitted = own.totalWithLookback(now, Metric.ADMITTED, ENOUGH);
     // What it admits is all that the line learns from: it is never shut for longer than a mean
     // takes.
-    boolean refused = admitted >= allowed && (r.excess || !idle) && refusedInRow < ENOUGH;
+    boolean refused = admitted >= allowed && (r.isOverQuota() || !idle) && refusedInRow < ENOUGH;
     refusedInRow = refused ? refusedInRow + 1 : 0;
     if (refused && refusedSince == 0) {
       out.accept(
@@ -433,10 +433,10 @@
                   "the line refuses: mean %.2f aims, own of %.0f samples; %.0f admitted, %.1f"
                       + " allowed, %.0f offered",
                   mean,
-                  own.reach(now, Metric.SAMPLES, ENOUGH),
+                  own.totalWithLookback(now, Metric.SAMPLES, ENOUGH),
                   admitted,
                   allowed,
-                  own.reach(now, Metric.OFFERED, ENOUGH))));
+                  own.totalWithLookback(now, Metric.OFFERED, ENOUGH))));
       refusedSince = now;
     } else if (!refused && refusedSince != 0 && mean <= MIN_VALUE * early) {
       out.accept(
@@ -448,14 +448,14 @@
   }
 
   private void count(PendingRequest r, Metric metric, double amount) {
-    r.key.add(now, metric, amount);
-    r.endpoint.add(now, metric, amount);
-    r.share.add(now, metric, amount);
+    r.windows.key().add(now, metric, amount);
+    r.windows.classAndTenant().add(now, metric, amount);
+    r.windows.quotaGroup().add(now, metric, amount);
     fleet.add(now, metric, amount);
   }
 
   private double value(PendingRequest r) {
-    return r.type.priorityWeight() * (r.excess ? settings.overQuotaWeight() : 1);
+    return r.requestClass.priorityWeight() * (r.isOverQuota() ? settings.overQuotaWeight() : 1);
   }
 
   /**
@@ -513,13 +513,14 @@
    * The first upstream from the key's place on the ring that may take it, own zone first; or null.
    */
   private Endpoint place(PendingRequest r) {
-    int start = ring.placeOf(r.request.key() == null ? "" + random.nextLong() : r.request.key());
-    double all = busy.total(now, Metric.SUM) / usualLatency + 1;
+    int start = ring.positionOf(r.request.key() == null ? "" + random.nextLong() : r.request.key());
+    double all = busy.total(now, Metric.LATENCY) / usualLatency + 1;
     double nearMost = Math.ceil((1 + HISTORY_SLACK) * all * nearPart);
     double awayMost = Math.ceil((1 + HISTORY_SLACK) * all / Math.max(1, ready));
     // Guards against keys that leave their warm upstreams in a crowd: each move is work, and so
     // more crowd.
-    double part = r.key.total(now, Metric.OFFERED) / Math.max(1, fleet.total(now, Metric.OFFERED));
+    double part =
+        r.windows.key().total(now, Metric.OFFERED) / Math.max(1, fleet.total(now, Metric.OFFERED));
     double most =
         sparse() || !settings.endpointsCacheKeys()
             ? ready
@@ -529,13 +530,13 @@
     Endpoint crowded = null;
     visits++;
     for (int i = 0, seen = 0, tried = 0; seen < ready && tried < most; i++) {
-      Endpoint u = ring.owner(start + i);
+      Endpoint u = ring.ownerAt(start + i);
       boolean again = u.visit == visits;
       u.visit = visits;
       seen += again ? 0 : 1;
       if (!again && mayGoTo(r, u) && usable(u)) {
         boolean hasRoom = u.load < bound(u);
-        double taken = u.busy.total(now, Metric.SUM) / usualLatency + 0.5;
+        double taken = u.busy.total(now, Metric.LATENCY) / usualLatency + 0.5;
         boolean inSlowStart = warmth(u) < 1;
         boolean fits =
             hasRoom && (inSlowStart || !sparse() || taken < (near(u) ? nearMost : awayMost));
@@ -559,7 +560,7 @@
   }
 
   private boolean sparse() {
-    return busy.total(now, Metric.SUM) < SPARSE * ready * HISTORY;
+    return busy.total(now, Metric.LATENCY) < SPARSE * ready * HISTORY;
   }
 
   private boolean near(Endpoint u) {
@@ -588,7 +589,8 @@
     long served = Math.min(window / 2, Math.max(SWEEP, now - u.firstServed));
     return Math.max(
         ROOM_LEAST,
-        (ROOM_PART * u.window.total(now, Metric.AIMS) * SECOND + u.window.total(now, Metric.OURS))
+        (ROOM_PART * u.window.total(now, Metric.OBJECTIVE) * SECOND
+                + u.window.total(now, Metric.LOCAL_DELAY))
             / served);
   }
 
@@ -601,7 +603,7 @@
   private boolean silent(Endpoint u) {
     double gap = u.window.mean(now, 1) / Math.max(1, u.inFlight);
     double own =
-        u.window.total(now, Metric.OURS) / Math.max(1, u.window.total(now, Metric.SAMPLES));
+        u.window.total(now, Metric.LOCAL_DELAY) / Math.max(1, u.window.total(now, Metric.SAMPLES));
     return u.inFlight > 0
         && gap > 0
         && now - u.heardAt
@@ -613,16 +615,16 @@
 
   private boolean mayGoTo(PendingRequest r, Endpoint u) {
     for (Attempt a : r.attempts) {
-      if (a.upstream == u && (a.out || ready > r.attempts.size())) {
+      if (a.endpoint == u && (a.isInFlight || ready > r.attempts.size())) {
         return false;
       }
-      if (a.mayHaveRun && r.type.effect() != RequestEffect.IDEMPOTENT) {
+      if (a.mayHaveRun && r.requestClass.effect() != RequestEffect.IDEMPOTENT) {
         // The window is cut by a tick, against a balancer that carries the sending out a moment
         // later.
-        if (r.type.effect() == RequestEffect.NOT_IDEMPOTENT
-            || !r.type.deduplicationScope().covers(a.upstream.listed, u.listed)
-            || now - a.sentAt
-                >= r.type.deduplicationWindowNanos() - settings.clockResolutionNanos()) {
+        if (r.requestClass.effect() == RequestEffect.NOT_IDEMPOTENT
+            || !r.requestClass.deduplicationScope().covers(a.endpoint.listed, u.listed)
+            || now - a.forwardedAtNanos
+                >= r.requestClass.deduplicationWindowNanos() - settings.clockResolutionNanos()) {
           return false;
         }
       }
@@ -631,10 +633,10 @@
   }
 
   private boolean mayRefuse(PendingRequest r) {
-    return r.type.effect() == RequestEffect.IDEMPOTENT
+    return r.requestClass.effect() == RequestEffect.IDEMPOTENT
         || !r.mayHaveRun()
-        || r.type.effect() == RequestEffect.IDEMPOTENT_WITH_KEY
-            && r.type.deduplicationScope() == DeduplicationScope.ALL;
+        || r.requestClass.effect() == RequestEffect.IDEMPOTENT_WITH_KEY
+            && r.requestClass.deduplicationScope() == DeduplicationScope.ALL;
   }
 
   // ---- Rule 4: slow start
@@ -657,7 +659,7 @@
    */
   private boolean mayTake(Endpoint u) {
     double part = Math.min(slowStartPart(u), slowStartTokens(u));
-    u.slowStart.tokens -= part;
+    u.slowStart.take(part);
     u.slowStartEarned += part;
     return u.slowStartEarned >= 1;
   }
@@ -679,7 +681,7 @@
     double usual = usualSends * (near(u) ? nearPart : 1.0 / Math.max(1, ready));
     double rate = Math.max(SLOW_START_TRICKLE / settings.groupSize(), warmth(u) * usual);
     double seconds = SLOW_START_BURST * settings.serviceRules().overloadWindowNanos() / SECOND;
-    return u.slowStart.fill(now, rate, Math.max(slowStartPart(u), rate * seconds));
+    return u.slowStart.refill(now, rate, Math.max(slowStartPart(u), rate * seconds));
   }
 
   // ---- Life of a request
@@ -693,7 +695,7 @@
     boolean over =
         r.attempts.size() >= settings.limits().maxAttempts()
             || !first && retryTokens < 1
-            || r.type.effect() == RequestEffect.NOT_IDEMPOTENT && r.mayHaveRun()
+            || r.requestClass.effect() == RequestEffect.NOT_IDEMPOTENT && r.mayHaveRun()
             || now >= r.request.deadlineNanos() - 2 * SWEEP;
     Endpoint u = over ? null : place(r);
     if (u != null) {
@@ -701,7 +703,7 @@
       held.remove(r);
       send(r, u);
     } else if (over
-        || first && now >= r.arrived + HOLD_PART * r.type.latencyObjectiveNanos()
+        || first && now >= r.arrivedAtNanos + HOLD_PART * r.requestClass.latencyObjectiveNanos()
         || !first && ready == 0) {
       finish(r);
     } else {
@@ -714,9 +716,9 @@
 
   private void send(PendingRequest r, Endpoint u) {
     r.attempts.add(new Attempt(u, now, usualLatency * r.load));
-    u.busy.add(now, Metric.SUM, usualLatency * r.load);
-    busy.add(now, Metric.SUM, usualLatency * r.load);
-    r.out++;
+    u.busy.add(now, Metric.LATENCY, usualLatency * r.load);
+    busy.add(now, Metric.LATENCY, usualLatency * r.load);
+    r.inFlight++;
     u.heardAt = u.inFlight == 0 ? now : u.heardAt;
     u.inFlight++;
     u.load += r.load;
@@ -733,13 +735,16 @@
    */
   private void hedge(PendingRequest r) {
     boolean mayCopy =
-        r.out == 1
+        r.inFlight == 1
             && settings.limits().hedging()
             && settings.limits().cancellation()
             && r.attempts.size() < settings.limits().maxAttempts()
             && hedgeTokens >= 1
-            && silent(r.attempts.get(r.attempts.size() - 1).upstream)
-            && now < Math.min(r.request.deadlineNanos(), r.arrived + r.type.latencyObjectiveNanos())
+            && silent(r.attempts.get(r.attempts.size() - 1).endpoint)
+            && now
+                < Math.min(
+                    r.request.deadlineNanos(),
+                    r.arrivedAtNanos + r.requestClass.latencyObjectiveNanos())
             && fleet.mean(now, ENOUGH) <= MIN_VALUE;
     Endpoint u = mayCopy ? place(r) : null;
     if (u != null) {
@@ -758,13 +763,13 @@
 
   /** The request has its final answer: stops what it still has out, forgets it once nothing is. */
   private void release(PendingRequest r) {
-    r.ended = true;
+    r.isFinal = true;
     held.remove(r);
-    if (r.out == 0) {
+    if (r.inFlight == 0) {
       open.remove(r.request.requestId());
     }
     for (int i = 0; i < r.attempts.size() && settings.limits().cancellation(); i++) {
-      if (r.attempts.get(i).out) {
+      if (r.attempts.get(i).isInFlight) {
         out.accept(new CancelAttempt(r.request.requestId(), i));
       }
     }
@@ -772,31 +777,31 @@
 
   private void onOutcome(AttemptCompleted o) {
     PendingRequest r = open.get(o.requestId());
-    if (r == null || o.attempt() >= r.attempts.size() || !r.attempts.get(o.attempt()).out) {
+    if (r == null || o.attempt() >= r.attempts.size() || !r.attempts.get(o.attempt()).isInFlight) {
       return;
     }
     Attempt a = r.attempts.get(o.attempt());
-    a.out = false;
+    a.isInFlight = false;
     a.mayHaveRun = !o.status().provesNotRun();
-    a.upstream.inFlight--;
-    a.upstream.load -= a.upstream.inFlight == 0 ? a.upstream.load : r.load;
-    a.upstream.heardAt = now;
-    r.out--;
-    readyLoad -= a.upstream.listed.status() == EndpointStatus.READY ? r.load : 0;
+    a.endpoint.inFlight--;
+    a.endpoint.load -= a.endpoint.inFlight == 0 ? a.endpoint.load : r.load;
+    a.endpoint.heardAt = now;
+    r.inFlight--;
+    readyLoad -= a.endpoint.listed.status() == EndpointStatus.READY ? r.load : 0;
     double least =
         o.status() == AttemptStatus.SERVED || o.foundStaleConnection()
             ? 0
-            : FAILED_AIMS * r.type.latencyObjectiveNanos();
-    a.upstream.busy.add(now, Metric.SUM, Math.max(least, o.latencyNanos()) - a.charged);
-    busy.add(now, Metric.SUM, Math.max(least, o.latencyNanos()) - a.charged);
+            : FAILED_AIMS * r.requestClass.latencyObjectiveNanos();
+    a.endpoint.busy.add(now, Metric.LATENCY, Math.max(least, o.latencyNanos()) - a.chargedNanos);
+    busy.add(now, Metric.LATENCY, Math.max(least, o.latencyNanos()) - a.chargedNanos);
     learn(r, a, o);
-    if (r.ended && r.out == 0) {
+    if (r.isFinal && r.inFlight == 0) {
       open.remove(o.requestId());
-    } else if (!r.ended && o.requestFinished()) {
+    } else if (!r.isFinal && o.requestFinished()) {
       hedgeTokens =
-          Math.min(HEDGE_MOST, hedgeTokens + (r.out > 0 && o.attempt() > 0 ? HEDGE_WIN : 0));
+          Math.min(HEDGE_MOST, hedgeTokens + (r.inFlight > 0 && o.attempt() > 0 ? HEDGE_WIN : 0));
       release(r);
-    } else if (!r.ended && r.out == 0) {
+    } else if (!r.isFinal && r.inFlight == 0) {
       advance(r);
     }
     int tries = HELD_TRIES;
@@ -806,24 +811,24 @@
   }
 
   private void learn(PendingRequest r, Attempt a, AttemptCompleted o) {
-    Endpoint u = a.upstream;
+    Endpoint u = a.endpoint;
     u.onTrial = false;
     long ours = ours(a, o);
     if (o.status() == AttemptStatus.SERVED) {
       u.failures = 0;
       u.ejections = 0;
       u.firstServed = u.firstServed == 0 ? now : u.firstServed;
-      u.window.add(now, Metric.AIMS, r.load * r.type.latencyObjectiveNanos() / SECOND);
+      u.window.add(now, Metric.OBJECTIVE, r.load * r.requestClass.latencyObjectiveNanos() / SECOND);
       u.window.add(now, Metric.SAMPLES, 1);
-      u.window.add(now, Metric.SUM, r.load * o.latencyNanos());
-      u.window.add(now, Metric.OURS, r.load * ours);
-      sample(r, (double) (now - r.arrived - ours) / r.type.latencyObjectiveNanos());
+      u.window.add(now, Metric.LATENCY, r.load * o.latencyNanos());
+      u.window.add(now, Metric.LOCAL_DELAY, r.load * ours);
+      sample(r, (double) (now - r.arrivedAtNanos - ours) / r.requestClass.latencyObjectiveNanos());
       usualLatency += (o.latencyNanos() - usualLatency) * USUAL_STEP;
     } else if (o.foundStaleConnection()) {
       // No sign of the upstream: kept connections break in a row, and three would eject one that is
       // well.
       // A crash breaks them too, but then the next connects are refused, which counts.
-      sample(r, (double) (now - r.arrived - ours) / r.type.latencyObjectiveNanos());
+      sample(r, (double) (now - r.arrivedAtNanos - ours) / r.requestClass.latencyObjectiveNanos());
     } else if (o.status() != AttemptStatus.CANCELLED && o.status() != AttemptStatus.NOT_SENT) {
       // One that turns all away holds nothing, so bounded load would send it more than any other:
       // it is
@@ -833,12 +838,15 @@
         // critical. More
         // would take connections that break, spoilt answers, or one upstream's errors for load.
         double least = o.status() == AttemptStatus.RESET ? 1 : MAX_VALUE;
-        sample(r, Math.max(least, (double) (now - r.arrived) / r.type.latencyObjectiveNanos()));
+        sample(
+            r,
+            Math.max(
+                least, (double) (now - r.arrivedAtNanos) / r.requestClass.latencyObjectiveNanos()));
       } else if (o.status() == AttemptStatus.TIMEOUT) {
         // A time-out adds its limit, the one that the client set: its class's is twice as long, and
         // a tenth
         // of the attempts lost to what no refusal can mend would be taken for an overload of all.
-        sample(r, (double) (now - r.arrived) / r.type.latencyObjectiveNanos());
+        sample(r, (double) (now - r.arrivedAtNanos) / r.requestClass.latencyObjectiveNanos());
       }
       if (++u.failures >= EJECT_AFTER && u.ejectedUntil <= now) {
         long backoff = Math.min(EJECT_MOST, EJECT_FIRST << Math.min(u.ejections++, 10));
@@ -852,13 +860,13 @@
    * line nor the room may take it for that. A few ticks are the clock's own rounding.
    */
   private long ours(Attempt a, AttemptCompleted o) {
-    long rest = now - a.sentAt - o.latencyNanos();
+    long rest = now - a.forwardedAtNanos - o.latencyNanos();
     return rest <= OURS_TICKS * settings.clockResolutionNanos() ? 0 : rest;
   }
 
   private void sample(PendingRequest r, double part) {
     count(r, Metric.SAMPLES, 1);
-    count(r, Metric.SUM, part);
+    count(r, Metric.LATENCY, part);
   }
 
   private void onSweep() {
@@ -881,7 +889,7 @@
             .count();
     panic = bad > PANIC_SHARE * ready;
     for (PendingRequest r : List.copyOf(open.values())) {
-      if (r.out > 0 && !r.ended && !r.streaming) {
+      if (r.inFlight > 0 && !r.isFinal && !r.isStreaming) {
         if (now >= r.request.deadlineNanos() + settings.serviceRules().responseSlackNanos() / 2) {
           finish(r);
         } else {
@@ -945,8 +953,7 @@
         u.failures = 0;
         u.ejections = 0;
         u.ejectedUntil = 0;
-        u.slowStart.tokens = 0;
-        u.slowStart.filledAt = now;
+        u.slowStart.reset(now);
         // Or balancers alike would all reach their first send at the same time.
         u.slowStartEarned = random.nextDouble();
       }
--- a/src/main/java/loadbalancer/policy/Attempt.java
+++ b/src/main/java/loadbalancer/policy/Attempt.java
@@ -1,19 +1,26 @@
 package loadbalancer.policy;
 
-/** One sending of a request. */
+/** One attempt of a request: its first, a retry or a hedged request. */
 final class Attempt {
-  final Endpoint upstream;
-  final long sentAt;
+  /** Where the attempt was forwarded to. */
+  final Endpoint endpoint;
 
-  /** In-flight time charged in advance. */
-  final double charged;
+  /** When it was forwarded. */
+  final long forwardedAtNanos;
 
-  boolean out = true;
+  /** The in-flight time that was charged in advance, settled when the attempt completes. */
+  final double chargedNanos;
+
+  /** Whether its completion is still to come. */
+  boolean isInFlight = true;
+
+  /** Whether the endpoint may have run the request; true until a completion proves otherwise. */
   boolean mayHaveRun = true;
 
-  Attempt(Endpoint upstream, long sentAt, double charged) {
-    this.upstream = upstream;
-    this.sentAt = sentAt;
-    this.charged = charged;
+  /** An attempt that is in flight from now on. */
+  Attempt(Endpoint endpoint, long forwardedAtNanos, double chargedNanos) {
+    this.endpoint = endpoint;
+    this.forwardedAtNanos = forwardedAtNanos;
+    this.chargedNanos = chargedNanos;
   }
 }
--- a/src/main/java/loadbalancer/policy/PendingRequest.java
+++ b/src/main/java/loadbalancer/policy/PendingRequest.java
@@ -5,46 +5,61 @@
 import loadbalancer.policy.event.RequestArrived;
 import loadbalancer.policy.settings.RequestClass;
 
-/** A request in hand: until it has its final answer and each of its attempts has ended. */
+/**
+ * A request between its arrival and the completion of its last attempt, which may be later than its
+ * final answer. {@link AdaptiveLoadBalancingPolicy} is the only writer.
+ */
 final class PendingRequest {
+  /** The request as it arrived. */
   final RequestArrived request;
-  final RequestClass type;
-  final long arrived;
-  final boolean excess;
 
-  /** All work inside quotas, or all over them. */
-  final SlidingWindow share;
+  /** The settings of its class. */
+  final RequestClass requestClass;
 
-  final SlidingWindow endpoint;
-  final SlidingWindow key;
+  /** When it arrived. */
+  final long arrivedAtNanos;
+
+  /** Its estimated load, in average requests. */
   final double load;
+
+  /** The sliding windows that count it. */
+  final TrafficWindows windows;
+
+  /** Its attempts in forwarding order. */
   final List<Attempt> attempts = new ArrayList<>(1);
-  int out;
-  boolean ended;
-  boolean streaming;
 
+  /** How many of its attempts are in flight. */
+  int inFlight;
+
+  /** Whether it has its final answer, or needs none since the client disconnected. */
+  boolean isFinal;
+
+  /** Whether a streamed response has started: the request has no deadline any more. */
+  boolean isStreaming;
+
+  /** A request that was not forwarded yet. */
   PendingRequest(
       RequestArrived request,
-      RequestClass type,
-      long arrived,
-      boolean excess,
-      SlidingWindow share,
-      SlidingWindow endpoint,
-      SlidingWindow key,
-      double load) {
+      RequestClass requestClass,
+      long arrivedAtNanos,
+      double load,
+      TrafficWindows windows) {
     this.request = request;
-    this.type = type;
-    this.arrived = arrived;
-    this.excess = excess;
-    this.share = share;
-    this.endpoint = endpoint;
-    this.key = key;
+    this.requestClass = requestClass;
+    this.arrivedAtNanos = arrivedAtNanos;
     this.load = load;
+    this.windows = windows;
+  }
+
+  /** Whether the request is over its tenant's quota. */
+  boolean isOverQuota() {
+    return windows.isOverQuota();
   }
 
+  /** Whether an endpoint may have run the request. */
   boolean mayHaveRun() {
-    for (Attempt a : attempts) {
-      if (a.mayHaveRun) {
+    for (Attempt attempt : attempts) {
+      if (attempt.mayHaveRun) {
         return true;
       }
     }
--- a/src/main/java/loadbalancer/policy/TokenBucket.java
+++ b/src/main/java/loadbalancer/policy/TokenBucket.java
@@ -1,13 +1,32 @@
 package loadbalancer.policy;
 
-/** A token bucket; its rate and size may differ from one filling to the next. */
+/**
+ * A token bucket whose rate and size may differ from one refill to the next. It starts empty, as if
+ * last refilled at clock reading 0.
+ */
 final class TokenBucket {
-  double tokens;
-  long filledAt;
+  private double tokens;
+  private long refilledAtNanos;
 
-  double fill(long now, double perSecond, double most) {
-    tokens = Math.min(most, tokens + perSecond * (now - filledAt) / 1e9);
-    filledAt = now;
+  /**
+   * Adds the tokens of the time since the last refill, up to {@code maxTokens}.
+   *
+   * @return the tokens now in the bucket
+   */
+  double refill(long nowNanos, double tokensPerSecond, double maxTokens) {
+    tokens = Math.min(maxTokens, tokens + tokensPerSecond * (nowNanos - refilledAtNanos) / 1e9);
+    refilledAtNanos = nowNanos;
     return tokens;
   }
+
+  /** Takes tokens out; the caller has checked that they are there. */
+  void take(double amount) {
+    tokens -= amount;
+  }
+
+  /** Empties the bucket, as if refilled at {@code nowNanos}. */
+  void reset(long nowNanos) {
+    tokens = 0;
+    refilledAtNanos = nowNanos;
+  }
 }
--- a/src/test/java/loadbalancer/policy/AdmissionTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionTest.java
@@ -38,9 +38,9 @@
     assertEquals(0, w.mean(0, 1), "an empty window is healthy");
     w.add(0, Metric.ADMITTED, 1);
     w.add(150, Metric.SAMPLES, 1);
-    w.add(150, Metric.SUM, 6);
+    w.add(150, Metric.LATENCY, 6);
     w.add(650, Metric.SAMPLES, 1);
-    w.add(650, Metric.SUM, 2);
+    w.add(650, Metric.LATENCY, 2);
     assertEquals(1, w.total(1199, Metric.ADMITTED));
     assertEquals(0, w.total(1200, Metric.ADMITTED));
     assertEquals(4, w.mean(1250, 1), 1e-9);
@@ -55,10 +55,10 @@
       SlidingWindow w = new SlidingWindow(1200, 5, 0);
       for (long at = 10_000; at < 11_200; at += 100) {
         w.add(at, Metric.SAMPLES, 1);
-        w.add(at, Metric.SUM, 3);
+        w.add(at, Metric.LATENCY, 3);
       }
       assertEquals(0, w.total(11_100 + pause, Metric.SAMPLES), 1e-9, "after " + pause);
-      assertEquals(0, w.total(11_100 + pause, Metric.SUM), 1e-9, "after " + pause);
+      assertEquals(0, w.total(11_100 + pause, Metric.LATENCY), 1e-9, "after " + pause);
     }
   }
 
