--- a/src/main/java/loadbalancer/proxy/coordinator/DownstreamClient.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/DownstreamClient.java
@@ -6,11 +6,11 @@
 public interface DownstreamClient {
 
   /** Whether the client still waits; it may have left unseen a moment ago. */
-  boolean here();
+  boolean isConnected();
 
-  void served(UpstreamResponse answer);
+  void sendResponse(UpstreamResponse answer);
 
-  void refused(long retryAfterNanos);
+  void sendRejection(long retryAfterNanos);
 
-  void failed();
+  void sendFailure();
 }
--- a/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
@@ -39,7 +39,6 @@
 import loadbalancer.proxy.transport.EpochClock;
 import loadbalancer.proxy.upstream.EndpointTable;
 import loadbalancer.proxy.upstream.UpstreamAttempt;
-import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
 /**
  * The table of open requests: tells the module what happens on the sockets and carries out what it
@@ -82,22 +81,19 @@
   public RequestCoordinator(
       PolicySettings settings,
       LoadBalancingPolicy module,
-      EpochClock clock,
-      EventLoop loop,
-      EventLoopLag lag,
-      UpstreamConnectionPools pool,
+      CoordinatorEnvironment environment,
       Consumer<RuntimeException> defect) {
     this.settings = settings;
     this.module = module;
-    this.clock = clock;
-    this.loop = loop;
-    this.lag = lag;
-    upstreams = new EndpointTable(pool);
+    clock = environment.clock();
+    loop = environment.eventLoop();
+    lag = environment.eventLoopLag();
+    upstreams = new EndpointTable(environment.connectionPools());
     this.defect = defect;
   }
 
   /** Logs what was done since the last report, if anything was. */
-  public void report() {
+  public void logStatistics() {
     trafficReporter.logInterval(table.size());
   }
 
@@ -106,15 +102,15 @@
    */
   public void start(EndpointList known, Consumer<Boolean> watch) {
     this.watch = watch;
-    news(EndpointListUpdate.Kind.CACHED, known);
+    updateEndpoints(EndpointListUpdate.Kind.CACHED, known);
   }
 
   // ---- Clients
   // ------------------------------------------------------------------------------------------
 
   /** Takes a request; false where its id is open already, which must not replace the first one. */
-  public boolean take(ClientRequest request, DownstreamClient client) {
-    long now = clock.now();
+  public boolean accept(ClientRequest request, DownstreamClient client) {
+    long now = clock.nowNanos();
     long left =
         Math.max(
             0,
@@ -148,14 +144,14 @@
   /**
    * The process ends after so long: no request that is open or taken from now on may last longer.
    */
-  public void endBy(long nanos) {
-    endsAt = clock.now() + nanos;
+  public void capDeadlines(long nanos) {
+    endsAt = clock.nowNanos() + nanos;
     table.values().stream()
         .filter(r -> !r.ended && r.deadline > endsAt)
         .forEach(r -> loop.schedule(() -> answerForModule(r), nanos, TimeUnit.NANOSECONDS));
   }
 
-  public void clientGone(String id) {
+  public void clientDisconnected(String id) {
     OpenRequest r = table.get(id);
     if (r != null && end(r)) {
       counters.clientDisconnected();
@@ -188,16 +184,16 @@
     } else {
       counters.requestRejectedLater();
     }
-    r.client.refused(retryAfterNanos);
+    r.client.sendRejection(retryAfterNanos);
   }
 
   private void fail(OpenRequest r) {
     counters.requestFailed();
-    r.client.failed();
+    r.client.sendFailure();
   }
 
   /** Answers all that is open, for an end that leaves no time. */
-  public void answerAll() {
+  public void completeAllRequests() {
     for (OpenRequest r : List.copyOf(table.values())) {
       if (end(r)) {
         giveUp(r);
@@ -219,18 +215,19 @@
   // ---- The list of upstreams
   // ----------------------------------------------------------------------------
 
-  public void news(EndpointList list) {
-    news(list.full() ? EndpointListUpdate.Kind.FULL : EndpointListUpdate.Kind.DELTA, list);
+  public void updateEndpoints(EndpointList list) {
+    updateEndpoints(
+        list.full() ? EndpointListUpdate.Kind.FULL : EndpointListUpdate.Kind.DELTA, list);
   }
 
-  private void news(EndpointListUpdate.Kind kind, EndpointList list) {
+  private void updateEndpoints(EndpointListUpdate.Kind kind, EndpointList list) {
     upstreams.news(kind != EndpointListUpdate.Kind.DELTA, list.endpoints());
     tell(
         new EndpointListUpdate(
             kind, list.endpoints().stream().map(EndpointList.Host::descriptor).toList()));
   }
 
-  public void watchFailed() {
+  public void endpointWatchFailed() {
     tell(new EndpointListUpdate(EndpointListUpdate.Kind.FAILED, List.of()));
   }
 
@@ -247,7 +244,7 @@
     try {
       for (Event next = events.poll(); next != null; next = events.poll()) {
         taking = next instanceof RequestArrived;
-        module.handle(clock.now(), next, this::perform);
+        module.handle(clock.nowNanos(), next, this::perform);
       }
       over.stream().filter(OpenRequest::over).forEach(r -> table.remove(r.request.requestId(), r));
       over.clear();
@@ -280,7 +277,7 @@
     } else if (action instanceof SetTimer a) {
       loop.schedule(
           () -> tell(new TimerFired(a.timerId())),
-          Math.max(0, a.fireAtNanos() - clock.now()),
+          Math.max(0, a.fireAtNanos() - clock.nowNanos()),
           TimeUnit.NANOSECONDS);
     } else if (action instanceof WatchEndpoints a) {
       watch.accept(a.enabled());
@@ -304,7 +301,7 @@
         new UpstreamAttempt(
             r.attempts.size(),
             a.endpointId(),
-            clock.now(),
+            clock.nowNanos(),
             upstream.pool(),
             (ended, status, answer) -> {
               upstreams.ended(upstream);
@@ -315,7 +312,7 @@
     // decision.
     boolean counts = r.attempts.size() < settings.limits().maxAttempts();
     r.attempts.add(attempt);
-    long left = r.deadline - clock.now();
+    long left = r.deadline - clock.nowNanos();
     attempt.start(
         r.request,
         a.timeoutNanos() == 0 ? left : Math.min(a.timeoutNanos(), left),
@@ -329,10 +326,10 @@
    * it late.
    */
   private boolean maySend(OpenRequest r, EndpointTable.Entry upstream) {
-    if (!r.ended && !r.client.here() && end(r)) {
+    if (!r.ended && !r.client.isConnected() && end(r)) {
       counters.clientDisconnected();
     }
-    return !r.ended && !upstream.leaving() && r.repeatIsHarmless(clock.now());
+    return !r.ended && !upstream.leaving() && r.repeatIsHarmless(clock.nowNanos());
   }
 
   private void cancel(CancelAttempt a) {
@@ -349,10 +346,10 @@
       AttemptStatus status,
       UpstreamResponse answer) {
     if (status == AttemptStatus.SERVED && end(r)) {
-      r.client.served(answer);
+      r.client.sendResponse(answer);
     }
     over.add(r);
-    long latency = attempt.latencyNanos(clock.now() - lag.meanReadDelayNanos());
+    long latency = attempt.latencyNanos(clock.nowNanos() - lag.meanReadDelayNanos());
     counters.attemptCompleted(
         new CompletedAttempt(
             attempt.address(),
@@ -375,7 +372,7 @@
   }
 
   private EndpointCategory categoryOf(EndpointDescriptor upstream) {
-    if (clock.now() - upstream.startedNanos() < settings.serviceRules().warmUpNanos()) {
+    if (clock.nowNanos() - upstream.startedNanos() < settings.serviceRules().warmUpNanos()) {
       return EndpointCategory.WARMING_UP;
     }
     return upstream.zone().equals(settings.zone())
--- a/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
@@ -131,7 +131,7 @@
    * is a flood.
    */
   @Override
-  public boolean here() {
+  public boolean isConnected() {
     int most = (int) (MOST_DROPPED + 1 - dropped);
     int skipped =
         ctx.channel() instanceof PeekableSocketChannel socket && most > 0 ? socket.skip(most) : 0;
@@ -297,17 +297,17 @@
   }
 
   @Override
-  public void served(UpstreamResponse answer) {
+  public void sendResponse(UpstreamResponse answer) {
     write(200, answer.body(), answer.contentType(), 0);
   }
 
   @Override
-  public void refused(long retryAfterNanos) {
+  public void sendRejection(long retryAfterNanos) {
     write(429, new byte[0], null, retryAfterNanos);
   }
 
   @Override
-  public void failed() {
+  public void sendFailure() {
     write(502, new byte[0], null, 0);
   }
 
--- a/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
@@ -142,11 +142,11 @@
   }
 
   boolean submit(ClientRequest request, DownstreamClient client) {
-    return core.take(request, client);
+    return core.accept(request, client);
   }
 
   void clientDisconnected(String id) {
-    core.clientGone(id);
+    core.clientDisconnected(id);
   }
 
   /**
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
@@ -10,6 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import loadbalancer.config.ProxyConfiguration;
 import loadbalancer.policy.AdaptiveLoadBalancingPolicy;
+import loadbalancer.proxy.coordinator.CoordinatorEnvironment;
 import loadbalancer.proxy.coordinator.RequestCoordinator;
 import loadbalancer.proxy.discovery.DiscoveryClient;
 import loadbalancer.proxy.downstream.DownstreamServer;
@@ -17,6 +18,7 @@
 import loadbalancer.proxy.telemetry.EventLoopLag;
 import loadbalancer.proxy.transport.EpochClock;
 import loadbalancer.proxy.transport.MillisecondEventLoop;
+import loadbalancer.proxy.upstream.ConnectionLimits;
 import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
 /** One real balancer: the module on sockets, all of it on one event-loop thread. */
@@ -65,17 +67,15 @@
     UpstreamConnectionPools pool =
         new UpstreamConnectionPools(
             loop,
-            settings.limits().connectTimeoutNanos(),
-            settings.limits().connectionIdleTimeoutNanos(),
-            (int) (configuration.sockets() * UPSTREAM_SHARE));
+            new ConnectionLimits(
+                settings.limits().connectTimeoutNanos(),
+                settings.limits().connectionIdleTimeoutNanos(),
+                (int) (configuration.sockets() * UPSTREAM_SHARE)));
     core =
         new RequestCoordinator(
             settings,
             new AdaptiveLoadBalancingPolicy(settings, configuration.seed()),
-            new EpochClock(),
-            loop,
-            lag,
-            pool,
+            new CoordinatorEnvironment(loop, new EpochClock(), lag, pool),
             this::defect);
     clients =
         new DownstreamServer(
@@ -87,8 +87,8 @@
             configuration.known().version(),
             DiscoveryClient.CALL_MILLIS,
             DiscoveryClient.SILENCE_MILLIS,
-            core::news,
-            core::watchFailed);
+            core::updateEndpoints,
+            core::endpointWatchFailed);
   }
 
   /**
@@ -155,7 +155,7 @@
                 EventLog.info("warmed up with " + requests + " requests");
                 clients.setReady();
                 loop.scheduleAtFixedRate(
-                    core::report, REPORT_MILLIS, REPORT_MILLIS, TimeUnit.MILLISECONDS);
+                    core::logStatistics, REPORT_MILLIS, REPORT_MILLIS, TimeUnit.MILLISECONDS);
                 EventLog.info(
                     configuration.name()
                         + " of zone "
@@ -194,7 +194,7 @@
                           .mapToLong(c -> TimeUnit.NANOSECONDS.toMillis(c.deadlineNanos()))
                           .max()
                           .orElse(0));
-          core.endBy(TimeUnit.MILLISECONDS.toNanos(end));
+          core.capDeadlines(TimeUnit.MILLISECONDS.toNanos(end));
           loop.schedule(clients::stopListening, ACCEPT_MILLIS, TimeUnit.MILLISECONDS);
           loop.schedule(
               this::endOnceIdle, Math.max(ACCEPT_MILLIS, end - LAST_MILLIS), TimeUnit.MILLISECONDS);
@@ -205,7 +205,7 @@
   private void endOnceIdle() {
     clients.closeIdleConnections();
     if (clients.openConnections() == 0) {
-      core.report();
+      core.logStatistics();
       EventLog.info(configuration.name() + " has drained");
       drained.countDown();
     } else {
@@ -231,7 +231,7 @@
             + e
             + " at "
             + (e.getStackTrace().length == 0 ? "?" : e.getStackTrace()[0]));
-    core.answerAll();
+    core.completeAllRequests();
     crash.run();
   }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
@@ -19,6 +19,7 @@
 import loadbalancer.policy.settings.PolicySettings;
 import loadbalancer.policy.settings.RequestClass;
 import loadbalancer.policy.settings.RequestEffect;
+import loadbalancer.proxy.coordinator.CoordinatorEnvironment;
 import loadbalancer.proxy.coordinator.RequestCoordinator;
 import loadbalancer.proxy.downstream.ClientConnection;
 import loadbalancer.proxy.downstream.DownstreamServer;
@@ -27,6 +28,7 @@
 import loadbalancer.proxy.telemetry.EventLog;
 import loadbalancer.proxy.telemetry.EventLoopLag;
 import loadbalancer.proxy.transport.EpochClock;
+import loadbalancer.proxy.upstream.ConnectionLimits;
 import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
 /**
@@ -57,7 +59,7 @@
   private final RequestCoordinator core;
   private final DownstreamServer side;
   private final IntConsumer done;
-  private final long endAt = clock.now() + LONGEST_NANOS;
+  private final long endAt = clock.nowNanos() + LONGEST_NANOS;
   private final List<EmbeddedChannel> clients = new ArrayList<>();
   private int sent;
 
@@ -115,15 +117,12 @@
             real.overQuotaWeight(),
             real.endpointsCacheKeys(),
             real.clockResolutionNanos());
-    pool = new UpstreamConnectionPools(loop, SECOND, SECOND, AT_ONCE);
+    pool = new UpstreamConnectionPools(loop, new ConnectionLimits(SECOND, SECOND, AT_ONCE));
     core =
         new RequestCoordinator(
             settings,
             new AdaptiveLoadBalancingPolicy(settings, 0),
-            clock,
-            loop,
-            lag,
-            pool,
+            new CoordinatorEnvironment(loop, clock, lag, pool),
             e -> EventLog.info("defect of the module while warming up: " + e));
     side = new DownstreamServer(loop, settings, core, AT_ONCE, null);
   }
@@ -145,7 +144,7 @@
   }
 
   private void round() {
-    if (sent >= REQUESTS || clock.now() > endAt) {
+    if (sent >= REQUESTS || clock.nowNanos() > endAt) {
       clients.forEach(EmbeddedChannel::close);
       pool.close();
       done.accept(sent);
--- a/src/main/java/loadbalancer/proxy/transport/EpochClock.java
+++ b/src/main/java/loadbalancer/proxy/transport/EpochClock.java
@@ -8,7 +8,7 @@
 
   private final long origin = System.currentTimeMillis() * 1_000_000L - System.nanoTime();
 
-  public long now() {
+  public long nowNanos() {
     return origin + System.nanoTime();
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
+++ b/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
@@ -81,7 +81,7 @@
       if (e.pool != null) {
         e.pool.close();
       }
-      e.pool = pools.of(host.address());
+      e.pool = pools.createPool(host.address());
     }
     e.listed = listed;
     if (listed.status() == EndpointStatus.READY) {
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
@@ -108,7 +108,7 @@
     }
     connection = to;
     sent = true;
-    sentAt = clock.now();
+    sentAt = clock.nowNanos();
     long leftMillis = Math.max(1, (timeoutNanos - (sentAt - decidedAt)) / 1_000_000);
     to.send(this, message(request, leftMillis));
   }
@@ -185,7 +185,7 @@
         how == AttemptStatus.RESET
             && connecting == null
             && connection.nothingHeard()
-            && clock.now() - sentAt < STALE_NANOS;
+            && clock.nowNanos() - sentAt < STALE_NANOS;
     if (stale) {
       // What was kept for longer has most likely gone the same way, and would cost an attempt each.
       pool.closeOlderThan(connection.idleSince);
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPools.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPools.java
@@ -36,20 +36,15 @@
   private final Future<?> sweep;
   private int open;
 
-  public UpstreamConnectionPools(
-      EventLoop loop, long connectTimeoutNanos, long idleNanos, int most) {
-    this(loop, connectTimeoutNanos, idleNanos, most, PeekableSocketChannel::new);
+  public UpstreamConnectionPools(EventLoop loop, ConnectionLimits limits) {
+    this(loop, limits, PeekableSocketChannel::new);
   }
 
   /** One whose sockets {@code sockets} makes. */
   public UpstreamConnectionPools(
-      EventLoop loop,
-      long connectTimeoutNanos,
-      long idleNanos,
-      int most,
-      ChannelFactory<Channel> sockets) {
-    this.most = most;
-    this.idleNanos = (long) (idleNanos * IDLE_PART);
+      EventLoop loop, ConnectionLimits limits, ChannelFactory<Channel> sockets) {
+    most = limits.maxConnections();
+    idleNanos = (long) (limits.idleTimeoutNanos() * IDLE_PART);
     bootstrap =
         new Bootstrap()
             .group(loop)
@@ -57,13 +52,13 @@
             .option(ChannelOption.TCP_NODELAY, true)
             .option(
                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                (int) Math.max(1, connectTimeoutNanos / 1_000_000));
-    long period = Math.max(1_000_000, this.idleNanos / SWEEPS);
+                (int) Math.max(1, limits.connectTimeoutNanos() / 1_000_000));
+    long period = Math.max(1_000_000, idleNanos / SWEEPS);
     sweep = loop.scheduleAtFixedRate(this::closeOld, period, period, TimeUnit.NANOSECONDS);
   }
 
   /** The pool of an upstream that is new or has a new address. */
-  public EndpointConnectionPool of(InetSocketAddress address) {
+  public EndpointConnectionPool createPool(InetSocketAddress address) {
     EndpointConnectionPool pool = new EndpointConnectionPool(this, address);
     pools.add(pool);
     return pool;
--- a/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
+++ b/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
@@ -18,10 +18,12 @@
 import loadbalancer.policy.event.EndpointDescriptor;
 import loadbalancer.policy.event.EndpointStatus;
 import loadbalancer.policy.event.Event;
+import loadbalancer.proxy.coordinator.CoordinatorEnvironment;
 import loadbalancer.proxy.coordinator.RequestCoordinator;
 import loadbalancer.proxy.downstream.DownstreamServer;
 import loadbalancer.proxy.telemetry.EventLoopLag;
 import loadbalancer.proxy.transport.EpochClock;
+import loadbalancer.proxy.upstream.ConnectionLimits;
 import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
 /** The downstream server with the real policy behind it, on an event loop that a test may block. */
@@ -68,10 +70,12 @@
               eventListener.accept(event);
               policy.handle(nowNanos, event, actions);
             },
-            new EpochClock(),
-            loop,
-            new EventLoopLag(loop),
-            new UpstreamConnectionPools(loop, 5_000_000_000L, 60_000_000_000L, 100),
+            new CoordinatorEnvironment(
+                loop,
+                new EpochClock(),
+                new EventLoopLag(loop),
+                new UpstreamConnectionPools(
+                    loop, new ConnectionLimits(5_000_000_000L, 60_000_000_000L, 100))),
             defects::add);
     server = new DownstreamServer(loop, settings, coordinator, MAX_CONNECTIONS, null);
     EndpointList knownEndpoints = EndpointList.of(fields.nested("known"));
@@ -93,7 +97,7 @@
         new EndpointDescriptor(EndpointList.idOf("s-" + number), "a", 1, status, 0, 1);
     return loop.submit(
         () ->
-            coordinator.news(
+            coordinator.updateEndpoints(
                 new EndpointList(
                     8, false, List.of(new EndpointList.Host(upstream.address(), descriptor)))));
   }
--- a/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
@@ -48,6 +48,7 @@
 import loadbalancer.proxy.http.UpstreamResponse;
 import loadbalancer.proxy.telemetry.EventLoopLag;
 import loadbalancer.proxy.transport.EpochClock;
+import loadbalancer.proxy.upstream.ConnectionLimits;
 import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -79,22 +80,22 @@
   private final DownstreamClient client =
       new DownstreamClient() {
         @Override
-        public boolean here() {
+        public boolean isConnected() {
           return here;
         }
 
         @Override
-        public void served(UpstreamResponse answer) {
+        public void sendResponse(UpstreamResponse answer) {
           answers.add("served");
         }
 
         @Override
-        public void refused(long retryAfterNanos) {
+        public void sendRejection(long retryAfterNanos) {
           answers.add("refused");
         }
 
         @Override
-        public void failed() {
+        public void sendFailure() {
           answers.add("failed");
         }
       };
@@ -107,7 +108,8 @@
                 .replace("\"drain-grace-ns\":2000000000", "\"drain-grace-ns\":" + drainGrace));
     settings = PolicySettingsReader.read(f.nested("settings"));
     UpstreamConnectionPools pool =
-        new UpstreamConnectionPools(loop, 5_000_000_000L, 60_000_000_000L, 100);
+        new UpstreamConnectionPools(
+            loop, new ConnectionLimits(5_000_000_000L, 60_000_000_000L, 100));
     core =
         new RequestCoordinator(
             settings,
@@ -118,12 +120,9 @@
               module.handle(event, out);
               handling = false;
             },
-            new EpochClock(),
-            loop,
-            new EventLoopLag(loop),
-            pool,
+            new CoordinatorEnvironment(loop, new EpochClock(), new EventLoopLag(loop), pool),
             defect -> {
-              core.answerAll();
+              core.completeAllRequests();
               defects.add(defect);
             });
     EndpointList known = EndpointList.of(f.nested("known"));
@@ -159,7 +158,7 @@
     assertTrue(
         loop.submit(
                 () -> {
-                  boolean taken = core.take(request, client);
+                  boolean taken = core.accept(request, client);
                   then.run();
                   return taken;
                 })
@@ -274,7 +273,7 @@
   void plannedStopAnswersWhatIsOpenBeforeItsEnd() throws Exception {
     start((event, out) -> {});
     take("1", "look", 600_000);
-    loop.submit(() -> core.endBy(100_000_000L)).get();
+    loop.submit(() -> core.capDeadlines(100_000_000L)).get();
     assertEquals("refused", answer());
   }
 
@@ -333,7 +332,7 @@
             }
           },
           upstream);
-      take("1", "order", 15_000, () -> core.clientGone("1"));
+      take("1", "order", 15_000, () -> core.clientDisconnected("1"));
       assertEquals(cancels ? AttemptStatus.CANCELLED : AttemptStatus.NOT_SENT, outcome().status());
       take("2", "look", 15_000);
       assertEquals("served", answer());
@@ -360,7 +359,7 @@
           new EndpointDescriptor(UPSTREAM, "a", 1, EndpointStatus.READY, 0, 1);
       loop.submit(
               () ->
-                  core.news(
+                  core.updateEndpoints(
                       new EndpointList(
                           8,
                           false,
@@ -372,7 +371,7 @@
       try (Socket connection = upstream.accept()) {
         InputStream in = connection.getInputStream();
         int read = in.readNBytes(1).length;
-        loop.submit(() -> core.clientGone("1")).get();
+        loop.submit(() -> core.clientDisconnected("1")).get();
         try {
           read += in.readAllBytes().length;
         } catch (IOException e) {
@@ -422,7 +421,7 @@
           AttemptStatus.SERVED,
           outcome().status(),
           "an idle connection makes the next send end at once");
-      loop.submit(() -> core.news(leaving(upstream))).get();
+      loop.submit(() -> core.updateEndpoints(leaving(upstream))).get();
       take("2", "look", 15_000);
       assertEquals(AttemptStatus.NOT_SENT, outcome().status());
       assertEquals(1, upstream.requests.size());
@@ -436,7 +435,7 @@
   void upstreamThatLeavesWhileTheConnectionComesUpGetsNothing() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       start(RequestCoordinatorTest::sendOnRequest, upstream);
-      take("1", "look", 15_000, () -> core.news(leaving(upstream)));
+      take("1", "look", 15_000, () -> core.updateEndpoints(leaving(upstream)));
       assertEquals(AttemptStatus.NOT_SENT, outcome().status());
       assertEquals(0, upstream.requests.size());
     }
@@ -460,7 +459,7 @@
           new EndpointDescriptor(UPSTREAM, "a", 1, EndpointStatus.REMOVED, 0, 1);
       loop.submit(
               () ->
-                  core.news(
+                  core.updateEndpoints(
                       new EndpointList(
                           8,
                           whole,
--- a/src/test/java/loadbalancer/proxy/lifecycle/WarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/WarmUpTest.java
@@ -14,10 +14,12 @@
 import loadbalancer.config.PolicySettingsReader;
 import loadbalancer.policy.AdaptiveLoadBalancingPolicy;
 import loadbalancer.proxy.TestProxy;
+import loadbalancer.proxy.coordinator.CoordinatorEnvironment;
 import loadbalancer.proxy.coordinator.RequestCoordinator;
 import loadbalancer.proxy.downstream.DownstreamServer;
 import loadbalancer.proxy.telemetry.EventLoopLag;
 import loadbalancer.proxy.transport.EpochClock;
+import loadbalancer.proxy.upstream.ConnectionLimits;
 import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -54,15 +56,13 @@
     var settings = PolicySettingsReader.read(f.nested("settings"));
     EventLoopLag lag = new EventLoopLag(loop);
     UpstreamConnectionPools pool =
-        new UpstreamConnectionPools(loop, 1_000_000_000L, 60_000_000_000L, 10);
+        new UpstreamConnectionPools(
+            loop, new ConnectionLimits(1_000_000_000L, 60_000_000_000L, 10));
     RequestCoordinator core =
         new RequestCoordinator(
             settings,
             new AdaptiveLoadBalancingPolicy(settings, 1),
-            new EpochClock(),
-            loop,
-            lag,
-            pool,
+            new CoordinatorEnvironment(loop, new EpochClock(), lag, pool),
             defect -> {});
     String path = WarmUp.newPath();
     InetSocketAddress address =
--- a/src/test/java/loadbalancer/proxy/upstream/EndpointTableTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/EndpointTableTest.java
@@ -25,7 +25,9 @@
   private final EventLoop loop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   private final EndpointTable table =
-      new EndpointTable(new UpstreamConnectionPools(loop, 1_000_000_000L, 60_000_000_000L, 10));
+      new EndpointTable(
+          new UpstreamConnectionPools(
+              loop, new ConnectionLimits(1_000_000_000L, 60_000_000_000L, 10)));
 
   private static EndpointList.Host host(long id, EndpointStatus state) {
     return new EndpointList.Host(
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolsTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolsTest.java
@@ -71,7 +71,9 @@
   }
 
   private UpstreamConnectionPools pool(long idleNanos, int most) throws Exception {
-    return loop.submit(() -> new UpstreamConnectionPools(loop, LONG, idleNanos, most)).get();
+    return loop.submit(
+            () -> new UpstreamConnectionPools(loop, new ConnectionLimits(LONG, idleNanos, most)))
+        .get();
   }
 
   @Test
@@ -109,7 +111,7 @@
 
   private EndpointConnectionPool of(UpstreamConnectionPools pool, InetSocketAddress address)
       throws Exception {
-    return loop.submit(() -> pool.of(address)).get();
+    return loop.submit(() -> pool.createPool(address)).get();
   }
 
   @AfterEach
@@ -199,9 +201,7 @@
                       () ->
                           new UpstreamConnectionPools(
                               loop,
-                              LONG,
-                              LONG,
-                              1,
+                              new ConnectionLimits(LONG, LONG, 1),
                               () -> {
                                 if (left.getAndDecrement() > 0) {
                                   throw new ChannelException("too many open files");
