--- a/src/main/java/loadbalancer/proxy/transport/MillisecondEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/transport/MillisecondEventLoop.java
@@ -5,24 +5,32 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 
 /**
- * An event loop whose timers fire at the next whole millisecond or later. NIO waits in
- * milliseconds, and Netty rounds the time to the next timer to the nearest: woken up to half of one
- * too early, it then looks at its sockets over and over until the timer is due, a hundred times a
- * second with this balancer's timers. On a part of a core that is the time of requests. It costs a
- * timer less than a millisecond.
+ * An event loop whose timers fire at the next whole millisecond or later.
+ *
+ * <p>The NIO selector waits in milliseconds, and Netty rounds the time to the next timer to the
+ * nearest one. Woken up to half a millisecond early, the loop would poll its sockets in a busy loop
+ * until the timer is due. Rounding up delays a timer by less than a millisecond instead.
  */
 public final class MillisecondEventLoop extends SingleThreadIoEventLoop {
 
-  private static final long MILLI = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  public MillisecondEventLoop(IoHandlerFactory handler) {
-    super(null, new DefaultThreadFactory("loop"), handler);
+  /**
+   * Makes a loop that runs once its first task is submitted.
+   *
+   * @param ioHandlerFactory makes the handler of the loop's sockets
+   */
+  public MillisecondEventLoop(IoHandlerFactory ioHandlerFactory) {
+    super(null, new DefaultThreadFactory("loop"), ioHandlerFactory);
   }
 
-  /** The time to the next timer, in whole milliseconds that are no less. */
+  /** The time to the next timer, rounded up to whole milliseconds. */
   @Override
-  protected long delayNanos(long now) {
-    long delay = super.delayNanos(now);
-    return delay > Long.MAX_VALUE - MILLI ? delay : (delay + MILLI - 1) / MILLI * MILLI;
+  protected long delayNanos(long currentTimeNanos) {
+    long delayNanos = super.delayNanos(currentTimeNanos);
+    if (delayNanos > Long.MAX_VALUE - NANOS_PER_MILLI) {
+      return delayNanos;
+    }
+    return (delayNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI * NANOS_PER_MILLI;
   }
 }
--- a/src/main/java/loadbalancer/proxy/transport/PeekableServerSocketChannel.java
+++ b/src/main/java/loadbalancer/proxy/transport/PeekableServerSocketChannel.java
@@ -5,7 +5,7 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** The listening socket: what it accepts can be asked whether its client is still there. */
+/** A listening socket that accepts connections as {@link PeekableSocketChannel}s. */
 public final class PeekableServerSocketChannel extends NioServerSocketChannel {
 
   @Override
--- a/src/main/java/loadbalancer/proxy/transport/PeekableSocketChannel.java
+++ b/src/main/java/loadbalancer/proxy/transport/PeekableSocketChannel.java
@@ -8,53 +8,73 @@
 
 /**
  * The socket of a connection to a client or an upstream, which can be asked what the event loop has
- * not read yet.
+ * not read yet. For the event loop's thread only.
  */
 public final class PeekableSocketChannel extends NioSocketChannel {
 
-  private static final int SKIP_BYTES = 4096;
+  /** Returned in place of a number of bytes where the peer has closed, or the connection broke. */
+  private static final int END_OF_STREAM = -1;
 
-  /** A socket to connect. */
+  private static final int SKIP_BUFFER_BYTES = 4096;
+
+  /** Makes a socket that is to be connected. */
   public PeekableSocketChannel() {}
 
-  /** A socket that {@code listener} has accepted. */
+  /**
+   * Makes the channel of an accepted socket.
+   *
+   * @param listener the channel that accepted it
+   * @param socket the socket
+   */
   public PeekableSocketChannel(Channel listener, SocketChannel socket) {
     super(listener, socket);
   }
 
   /**
-   * What waits unread: 0 for nothing, 1 for bytes, of which this takes the first, and -1 for the
-   * peer's end.
+   * Whether the connection is up and nothing waits unread on it, neither bytes nor the peer's end.
+   * Drops the first unread byte, so a connection on which something waits is not to be read again.
    */
-  public int ahead() {
-    try {
-      return isActive() ? javaChannel().read(ByteBuffer.allocate(1)) : -1;
-    } catch (IOException e) {
-      return -1;
-    }
+  public boolean isOpenWithNothingUnread() {
+    return skipOneByte() == 0;
   }
 
   /**
-   * Takes what waits unread, at most so many bytes: how many that were, or -1 where the peer's end
-   * lies behind them.
+   * Drops unread bytes.
+   *
+   * @param maxBytes the most bytes to drop, above 0
+   * @return the number of bytes dropped, 0 where nothing waits, or -1 where the peer's end was
+   *     reached or the connection is broken
    */
-  public int skip(int most) {
-    int skipped = ahead();
+  public int skip(int maxBytes) {
+    int skipped = skipOneByte();
     if (skipped <= 0) {
       return skipped;
     }
-    ByteBuffer bytes = ByteBuffer.allocate(SKIP_BYTES);
+    ByteBuffer buffer = ByteBuffer.allocate(SKIP_BUFFER_BYTES);
     try {
-      while (skipped < most) {
-        int read = javaChannel().read(bytes.clear().limit(Math.min(SKIP_BYTES, most - skipped)));
-        if (read <= 0) {
-          return read < 0 ? -1 : skipped;
+      while (skipped < maxBytes) {
+        buffer.clear().limit(Math.min(SKIP_BUFFER_BYTES, maxBytes - skipped));
+        int read = javaChannel().read(buffer);
+        if (read < 0) {
+          return END_OF_STREAM;
+        }
+        if (read == 0) {
+          return skipped;
         }
         skipped += read;
       }
     } catch (IOException e) {
-      return -1;
+      return END_OF_STREAM;
     }
     return skipped;
   }
+
+  /** Separate from {@link #skip}, so that a socket with nothing unread costs no large buffer. */
+  private int skipOneByte() {
+    try {
+      return isActive() ? javaChannel().read(ByteBuffer.allocate(1)) : END_OF_STREAM;
+    } catch (IOException e) {
+      return END_OF_STREAM;
+    }
+  }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -66,7 +66,7 @@
    * the next request.
    */
   boolean usable() {
-    return channel.ahead() == 0;
+    return channel.isOpenWithNothingUnread();
   }
 
   /** Nothing has come since the last request was written. */
--- a/src/test/java/loadbalancer/proxy/transport/MillisecondEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/transport/MillisecondEventLoopTest.java
@@ -11,30 +11,27 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** How an event loop waits for its timers. */
+/** How the event loop waits for its timers. */
 class MillisecondEventLoopTest {
 
   private static final int TIMERS = 50;
-  private static final long TIMER_NANOS = 2_300_000L;
+  private static final long TIMER_DELAY_NANOS = 2_300_000L;
 
-  /**
-   * Guards the core: rounds that find nothing to do until a timer is due, hundreds of them for each
-   * timer.
-   */
+  /** A busy wait for a timer would be hundreds of selector rounds for each timer. */
   @Test
-  void noRoundsAreSpentOnWaitingForATimer() throws Exception {
+  void waitingForATimerTakesNoBusyLoop() throws Exception {
     AtomicInteger rounds = new AtomicInteger();
-    SelectStrategy counting =
+    SelectStrategy countingStrategy =
         (selectNow, tasks) -> {
           rounds.incrementAndGet();
           return tasks ? selectNow.get() : SelectStrategy.SELECT;
         };
     MillisecondEventLoop loop =
         new MillisecondEventLoop(
-            NioIoHandler.newFactory(SelectorProvider.provider(), () -> counting));
+            NioIoHandler.newFactory(SelectorProvider.provider(), () -> countingStrategy));
     try {
       CountDownLatch fired = new CountDownLatch(TIMERS);
-      loop.execute(() -> next(loop, fired));
+      loop.execute(() -> scheduleNext(loop, fired));
       fired.await();
       assertTrue(rounds.get() <= 4 * TIMERS, "rounds: " + rounds);
     } finally {
@@ -42,30 +39,30 @@
     }
   }
 
-  private static void next(MillisecondEventLoop loop, CountDownLatch fired) {
+  private static void scheduleNext(MillisecondEventLoop loop, CountDownLatch fired) {
     loop.schedule(
         () -> {
           fired.countDown();
           if (fired.getCount() > 0) {
-            next(loop, fired);
+            scheduleNext(loop, fired);
           }
         },
-        TIMER_NANOS,
+        TIMER_DELAY_NANOS,
         TimeUnit.NANOSECONDS);
   }
 
   @Test
-  void waitIsWholeMillisecondsAndNoShorterThanTheTimers() throws Exception {
+  void delayIsInWholeMillisecondsAndNoShorterThanTheTimers() throws Exception {
     MillisecondEventLoop loop = new MillisecondEventLoop(NioIoHandler.newFactory());
     try {
       loop.submit(
               () -> {
-                long before = System.nanoTime();
+                long nowNanos = System.nanoTime();
                 loop.schedule(() -> {}, 1, TimeUnit.HOURS);
                 for (int i = 0; i < 3; i++) {
-                  long wait = loop.delayNanos(before + i);
-                  assertEquals(0, wait % 1_000_000);
-                  assertTrue(wait >= TimeUnit.HOURS.toNanos(1) - i, "waits " + wait);
+                  long delayNanos = loop.delayNanos(nowNanos + i);
+                  assertEquals(0, delayNanos % 1_000_000);
+                  assertTrue(delayNanos >= TimeUnit.HOURS.toNanos(1) - i, "delay " + delayNanos);
                 }
               })
           .sync();
--- a/src/test/java/loadbalancer/proxy/transport/PeekableSocketChannelTest.java
+++ b/src/test/java/loadbalancer/proxy/transport/PeekableSocketChannelTest.java
@@ -9,30 +9,30 @@
 import java.nio.channels.ServerSocketChannel;
 import org.junit.jupiter.api.Test;
 
-/** What waits unread on a socket. */
+/** Dropping what waits unread on a socket. */
 class PeekableSocketChannelTest {
 
-  /** What is done with the two ends of a connection. */
-  interface Ends {
-    void use(PeekableSocketChannel socket, Socket peer) throws Exception;
+  /** Uses the two ends of a connection. */
+  interface ConnectionTest {
+    void run(PeekableSocketChannel socket, Socket peer) throws Exception;
   }
 
-  private static void connected(Ends ends) throws Exception {
+  private static void onConnection(ConnectionTest test) throws Exception {
     try (ServerSocketChannel listener = ServerSocketChannel.open()) {
       listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       InetSocketAddress address = (InetSocketAddress) listener.getLocalAddress();
       try (Socket peer = new Socket(address.getAddress(), address.getPort());
           var accepted = listener.accept()) {
         peer.setTcpNoDelay(true);
-        ends.use(new PeekableSocketChannel(null, accepted), peer);
+        test.run(new PeekableSocketChannel(null, accepted), peer);
       }
     }
   }
 
-  /** Guards the loop: one peer that sends on and on must not keep it. */
+  /** One peer that sends without end must not occupy the event loop. */
   @Test
-  void noMoreIsSkippedThanWasAskedFor() throws Exception {
-    connected(
+  void skipDropsNoMoreThanItsLimit() throws Exception {
+    onConnection(
         (socket, peer) -> {
           assertEquals(0, socket.skip(10));
           peer.getOutputStream().write(new byte[10_000]);
