--- a/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
@@ -28,7 +28,7 @@
   }
 
   boolean over() {
-    return ended && attempts.stream().noneMatch(UpstreamAttempt::out);
+    return ended && attempts.stream().noneMatch(UpstreamAttempt::isInFlight);
   }
 
   boolean mayHaveRun() {
@@ -51,6 +51,7 @@
             .allMatch(
                 a ->
                     request.requestClass().effect() == RequestEffect.IDEMPOTENT_WITH_KEY
-                        && now - a.sentAt() < request.requestClass().deduplicationWindowNanos());
+                        && now - a.forwardedAtNanos()
+                            < request.requestClass().deduplicationWindowNanos());
   }
 }
--- a/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
@@ -37,8 +37,10 @@
 import loadbalancer.proxy.telemetry.TrafficCounters;
 import loadbalancer.proxy.telemetry.TrafficReporter;
 import loadbalancer.proxy.transport.EpochClock;
+import loadbalancer.proxy.upstream.AttemptPlan;
 import loadbalancer.proxy.upstream.EndpointTable;
 import loadbalancer.proxy.upstream.UpstreamAttempt;
+import loadbalancer.proxy.upstream.UpstreamEndpoint;
 
 /**
  * The table of open requests: tells the module what happens on the sockets and carries out what it
@@ -221,7 +223,11 @@
   }
 
   private void updateEndpoints(EndpointListUpdate.Kind kind, EndpointList list) {
-    upstreams.news(kind != EndpointListUpdate.Kind.DELTA, list.endpoints());
+    if (kind == EndpointListUpdate.Kind.DELTA) {
+      upstreams.applyChanges(list.endpoints());
+    } else {
+      upstreams.applyFullList(list.endpoints());
+    }
     tell(
         new EndpointListUpdate(
             kind, list.endpoints().stream().map(EndpointList.Host::descriptor).toList()));
@@ -292,56 +298,57 @@
 
   private void send(ForwardAttempt a) {
     OpenRequest r = table.get(a.requestId());
-    EndpointTable.Entry upstream = upstreams.get(a.endpointId());
+    UpstreamEndpoint upstream = upstreams.find(a.endpointId());
     if (r == null || upstream == null) {
       throw new IllegalStateException(
           "the module sent an unknown request or to an unknown upstream");
     }
-    UpstreamAttempt attempt =
-        new UpstreamAttempt(
+    long now = clock.nowNanos();
+    long left = r.deadline - now;
+    boolean counts = r.attempts.size() < settings.limits().maxAttempts();
+    AttemptPlan plan =
+        new AttemptPlan(
             r.attempts.size(),
             a.endpointId(),
-            clock.nowNanos(),
+            r.request,
+            now,
+            a.timeoutNanos() == 0 ? left : Math.min(a.timeoutNanos(), left),
+            () -> counts && maySend(r, upstream));
+    UpstreamAttempt attempt =
+        new UpstreamAttempt(
+            plan,
             upstream.pool(),
+            clock,
             (ended, status, answer) -> {
-              upstreams.ended(upstream);
+              upstreams.attemptCompleted(upstream);
               ended(r, upstream, ended, status, answer);
             });
-    upstreams.started(upstream);
-    // Checked where the attempt's first byte goes out, which may be a connect later than the
-    // decision.
-    boolean counts = r.attempts.size() < settings.limits().maxAttempts();
+    upstreams.attemptStarted(upstream);
     r.attempts.add(attempt);
-    long left = r.deadline - clock.nowNanos();
-    attempt.start(
-        r.request,
-        a.timeoutNanos() == 0 ? left : Math.min(a.timeoutNanos(), left),
-        () -> counts && maySend(r, upstream),
-        clock,
-        loop);
+    attempt.start(loop);
   }
 
   /**
    * Asked of the client's socket, since its end may still be unread: the loop that is behind sees
    * it late.
    */
-  private boolean maySend(OpenRequest r, EndpointTable.Entry upstream) {
+  private boolean maySend(OpenRequest r, UpstreamEndpoint upstream) {
     if (!r.ended && !r.client.isConnected() && end(r)) {
       counters.clientDisconnected();
     }
-    return !r.ended && !upstream.leaving() && r.repeatIsHarmless(clock.nowNanos());
+    return !r.ended && !upstream.isDraining() && r.repeatIsHarmless(clock.nowNanos());
   }
 
   private void cancel(CancelAttempt a) {
     OpenRequest r = table.get(a.requestId());
     if (r != null && a.attempt() < r.attempts.size()) {
-      r.attempts.get(a.attempt()).end(AttemptStatus.CANCELLED, null);
+      r.attempts.get(a.attempt()).complete(AttemptStatus.CANCELLED, null);
     }
   }
 
   private void ended(
       OpenRequest r,
-      EndpointTable.Entry upstream,
+      UpstreamEndpoint upstream,
       UpstreamAttempt attempt,
       AttemptStatus status,
       UpstreamResponse answer) {
@@ -356,14 +363,14 @@
             categoryOf(upstream.descriptor()),
             status,
             attempt.foundStaleConnection(),
-            attempt.unsentNanos(),
+            attempt.timeToFirstByteNanos(),
             latency));
     counters.loopLagMeasured(lag.lagNanos());
     tell(
         new AttemptCompleted(
             r.request.requestId(),
-            attempt.number,
-            attempt.upstream,
+            attempt.index(),
+            attempt.endpointId(),
             status,
             latency,
             r.ended,
--- a/src/main/java/loadbalancer/proxy/upstream/EndpointConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/EndpointConnectionPool.java
@@ -4,22 +4,28 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * The idle connections to one upstream, one request each at a time; the one that was used last is
- * used first. It belongs to the upstream and not to its address: a successor at the same address
- * must not get its predecessor's.
+ * The idle connections to one upstream, each for one request at a time; the one used last is reused
+ * first. A pool belongs to an upstream and not to its address: a successor at the same address must
+ * not inherit connections. All state belongs to the event loop.
  */
 final class EndpointConnectionPool {
 
-  private final UpstreamConnectionPools all;
+  private final UpstreamConnectionPools allPools;
   private final InetSocketAddress address;
-  private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
-  private boolean closed;
-  private long heardAt = System.nanoTime();
 
-  EndpointConnectionPool(UpstreamConnectionPools all, InetSocketAddress address) {
-    this.all = all;
+  /** The connection that became idle last comes first. */
+  private final ArrayDeque<UpstreamConnection> idleConnections = new ArrayDeque<>();
+
+  private boolean isClosed;
+
+  /** When anything last came from the upstream, by {@link System#nanoTime}. */
+  private long lastReceivedNanos = System.nanoTime();
+
+  EndpointConnectionPool(UpstreamConnectionPools allPools, InetSocketAddress address) {
+    this.allPools = allPools;
     this.address = address;
   }
 
@@ -28,68 +34,74 @@
   }
 
   /**
-   * The idle connection that was used last, or null; one on which anything waits unread is of no
-   * use.
+   * Takes the idle connection that was used last out of the pool, or returns null where there is
+   * none. Closes those that it finds unusable.
    */
-  UpstreamConnection takeIdle() {
-    UpstreamConnection newest = idle.pollFirst();
-    while (newest != null && !newest.usable()) {
+  UpstreamConnection acquireIdle() {
+    UpstreamConnection newest = idleConnections.pollFirst();
+    while (newest != null && !newest.isReusable()) {
       newest.close();
-      newest = idle.pollFirst();
+      newest = idleConnections.pollFirst();
     }
     return newest;
   }
 
-  /** Opens a connection; null where the limit on sockets leaves no room for one. */
-  ChannelFuture connect() {
-    return all.connect(this);
+  /** Opens a connection; empty where no connection is left within the limits. */
+  Optional<ChannelFuture> connect() {
+    return allPools.connect(this);
   }
 
-  void giveBack(UpstreamConnection connection) {
-    if (closed) {
+  /** Takes back a connection with no request on it; a closed pool closes it. */
+  void release(UpstreamConnection connection) {
+    if (isClosed) {
       connection.close();
       return;
     }
-    connection.idleSince = System.nanoTime();
-    idle.addFirst(connection);
+    connection.markIdle();
+    idleConnections.addFirst(connection);
   }
 
-  /** Forgets a connection that has ended. */
+  /** Removes a connection that has closed. */
   void remove(UpstreamConnection connection) {
-    idle.remove(connection);
+    idleConnections.remove(connection);
   }
 
-  /** The upstream has sent something. */
-  void heard() {
-    heardAt = System.nanoTime();
+  /** Records that bytes came from the upstream, on any connection. */
+  void recordReceived() {
+    lastReceivedNanos = System.nanoTime();
   }
 
-  /** Whether the upstream has sent anything, on any connection, in this time. */
-  boolean heardWithin(long nanos) {
-    return System.nanoTime() - heardAt < nanos;
+  /** Whether anything came from the upstream, on any connection, within this time. */
+  boolean hasReceivedWithin(long nanos) {
+    return System.nanoTime() - lastReceivedNanos < nanos;
   }
 
   void closeIdle() {
-    List<UpstreamConnection> closing = List.copyOf(idle);
-    idle.clear();
+    List<UpstreamConnection> closing = List.copyOf(idleConnections);
+    idleConnections.clear();
     closing.forEach(UpstreamConnection::close);
   }
 
-  /** The upstream is gone or has moved: what is idle goes now, the rest when it is given back. */
+  /**
+   * Closes the pool of an upstream that was removed or has moved: idle connections now, the others
+   * when they are released.
+   */
   void close() {
-    closed = true;
+    isClosed = true;
     closeIdle();
-    all.forget(this);
+    allPools.remove(this);
   }
 
-  void closeOlderThan(long before) {
-    while (!idle.isEmpty() && idle.peekLast().idleSince - before <= 0) {
-      idle.pollLast().close();
+  /** Closes connections that have been idle since this time, by {@link System#nanoTime}. */
+  void closeIdleSince(long nanoTime) {
+    while (!idleConnections.isEmpty()
+        && idleConnections.peekLast().idleSinceNanos() - nanoTime <= 0) {
+      idleConnections.pollLast().close();
     }
   }
 
   /** The connection that has been idle longest, or null. */
-  UpstreamConnection oldest() {
-    return idle.peekLast();
+  UpstreamConnection longestIdle() {
+    return idleConnections.peekLast();
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
+++ b/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
@@ -7,113 +7,93 @@
 import java.util.Set;
 import loadbalancer.config.EndpointList;
 import loadbalancer.policy.event.EndpointDescriptor;
-import loadbalancer.policy.event.EndpointStatus;
 
 /**
- * The upstreams that the list names, and those that it named as long as attempts are out to them.
+ * The upstreams that the endpoint list names, and removed ones while attempts to them are in
+ * flight. All state belongs to the event loop.
  */
 public final class EndpointTable {
 
-  /** An upstream as the list last told of it, with its connections. */
-  public static final class Entry {
-    private final long id;
-    private EndpointConnectionPool pool;
-    private EndpointDescriptor listed;
-    private boolean leaving;
-    private boolean gone;
-    private int out;
-
-    private Entry(long id) {
-      this.id = id;
-    }
-
-    public EndpointConnectionPool pool() {
-      return pool;
-    }
-
-    public EndpointDescriptor descriptor() {
-      return listed;
-    }
-
-    /** Whether the list says that it wants nothing new, or is gone. */
-    public boolean leaving() {
-      return leaving;
-    }
-  }
-
   private final UpstreamConnectionPools pools;
-  private final Map<Long, Entry> entries = new HashMap<>();
+  private final Map<Long, UpstreamEndpoint> endpoints = new HashMap<>();
 
+  /**
+   * Makes an empty table.
+   *
+   * @param pools makes the connection pools of the table's endpoints
+   */
   public EndpointTable(UpstreamConnectionPools pools) {
     this.pools = pools;
   }
 
   /**
-   * The upstream of this id; null where the list never named it, or it is gone and nothing is out
-   * to it.
+   * The endpoint with this identifier; null where the list never named it, or it was removed and no
+   * attempt to it is in flight.
    */
-  public Entry get(long id) {
-    return entries.get(id);
+  public UpstreamEndpoint find(long endpointId) {
+    return endpoints.get(endpointId);
   }
 
   int size() {
-    return entries.size();
+    return endpoints.size();
   }
 
-  /** Takes in changes, or the whole list: one that is absent from that is gone. */
-  public void news(boolean whole, List<EndpointList.Host> hosts) {
-    Set<Long> named = new HashSet<>();
-    for (EndpointList.Host host : hosts) {
-      named.add(host.descriptor().endpointId());
-      update(host);
+  /** Applies the changed entries of an endpoint list. */
+  public void applyChanges(List<EndpointList.Host> changed) {
+    changed.forEach(this::apply);
+  }
+
+  /** Applies a full endpoint list: endpoints that it does not name are removed. */
+  public void applyFullList(List<EndpointList.Host> listed) {
+    Set<Long> listedIds = new HashSet<>();
+    for (EndpointList.Host host : listed) {
+      listedIds.add(host.descriptor().endpointId());
+      apply(host);
     }
-    if (whole) {
-      List.copyOf(entries.values()).stream()
-          .filter(e -> !named.contains(e.id))
-          .forEach(e -> leave(e, true));
+    for (UpstreamEndpoint endpoint : List.copyOf(endpoints.values())) {
+      if (!listedIds.contains(endpoint.descriptor().endpointId())) {
+        remove(endpoint);
+      }
     }
   }
 
-  private void update(EndpointList.Host host) {
-    EndpointDescriptor listed = host.descriptor();
-    Entry e = entries.computeIfAbsent(listed.endpointId(), Entry::new);
-    if (e.pool == null || !e.pool.address().equals(host.address()) || e.gone) {
-      if (e.pool != null) {
-        e.pool.close();
-      }
-      e.pool = pools.createPool(host.address());
+  private void apply(EndpointList.Host host) {
+    EndpointDescriptor descriptor = host.descriptor();
+    UpstreamEndpoint endpoint = endpoints.get(descriptor.endpointId());
+    if (endpoint == null) {
+      endpoint = new UpstreamEndpoint(descriptor, pools.createPool(host.address()));
+      endpoints.put(descriptor.endpointId(), endpoint);
+    } else if (endpoint.isRemoved() || !endpoint.pool().address().equals(host.address())) {
+      endpoint.replacePool(pools.createPool(host.address()));
     }
-    e.listed = listed;
-    if (listed.status() == EndpointStatus.READY) {
-      e.leaving = false;
-      e.gone = false;
-    } else {
-      leave(e, listed.status() == EndpointStatus.REMOVED);
+    endpoint.describe(descriptor);
+    if (endpoint.isRemoved()) {
+      remove(endpoint);
     }
   }
 
-  private void leave(Entry e, boolean gone) {
-    e.leaving = true;
-    e.gone = gone;
-    if (gone) {
-      e.pool.close();
-      forgetIfOver(e);
-    }
+  private void remove(UpstreamEndpoint endpoint) {
+    endpoint.remove();
+    forgetIfUnused(endpoint);
   }
 
-  public void started(Entry e) {
-    e.out++;
+  /**
+   * Records that an attempt to the endpoint is in flight; the endpoint is kept until it completes.
+   */
+  public void attemptStarted(UpstreamEndpoint endpoint) {
+    endpoint.attemptStarted();
   }
 
-  public void ended(Entry e) {
-    e.out--;
-    forgetIfOver(e);
+  /** Records that an attempt to the endpoint has completed; once for each one started. */
+  public void attemptCompleted(UpstreamEndpoint endpoint) {
+    endpoint.attemptCompleted();
+    forgetIfUnused(endpoint);
   }
 
-  /** Guards the memory where upstreams are replaced all day under new ids. */
-  private void forgetIfOver(Entry e) {
-    if (e.gone && e.out == 0) {
-      entries.remove(e.id, e);
+  /** Bounds the table where upstreams are replaced all day under new identifiers. */
+  private void forgetIfUnused(UpstreamEndpoint endpoint) {
+    if (endpoint.isRemoved() && !endpoint.hasAttemptsInFlight()) {
+      endpoints.remove(endpoint.descriptor().endpointId(), endpoint);
     }
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseDecoder.java
@@ -11,61 +11,66 @@
 import loadbalancer.proxy.transport.RawBytesFilter;
 
 /**
- * Reads answers as strictly as requests are read, and watches the raw bytes: what comes where no
- * answer is due is never decoded. Guards against what Netty repairs quietly in answers: a line "no
- * colon here" would be a header named "no".
+ * Decodes responses as strictly as requests are decoded, and offers the raw bytes to a filter
+ * first: what arrives where no response is due is never decoded.
+ *
+ * <p>Netty tolerates malformed header lines in responses only: a line "no colon here" would become
+ * a header named "no".
  */
 final class ResponseDecoder extends HttpResponseDecoder {
 
-  private RawBytesFilter reader;
+  private RawBytesFilter filter;
 
   /**
-   * From an answer's first line to its end; the line itself may end in a blank where it gives no
-   * reason.
+   * Set from a response's status line to its last content; the status line itself may end in a
+   * space where it gives no reason phrase.
    */
-  private boolean behindFirstLine;
+  private boolean isPastStatusLine;
 
   ResponseDecoder() {
     super(new HttpDecoderConfig().setStrictLineParsing(true));
   }
 
-  void reader(RawBytesFilter next) {
-    reader = next;
+  /** Sets the filter of raw bytes; to be called before the first read. */
+  void setFilter(RawBytesFilter rawBytesFilter) {
+    filter = rawBytesFilter;
   }
 
-  /** Whether bytes are left over that belong to no message yet. */
-  boolean leftOver() {
+  /** Whether bytes are left that belong to no message decoded so far. */
+  boolean hasUndecodedBytes() {
     return actualReadableBytes() > 0;
   }
 
   @Override
   protected HttpMessage createMessage(String[] initialLine) {
-    behindFirstLine = true;
+    isPastStatusLine = true;
     return super.createMessage(initialLine);
   }
 
   /**
-   * Decides how strictly headers are read; an answer without a length is no answer here, so its
-   * body is no matter.
+   * Decides how strictly header lines are read. Also says that a message without a length has no
+   * body, which has no effect here: such a response is rejected by its head.
    */
   @Override
   protected boolean isDecodingRequest() {
-    return behindFirstLine;
+    return isPastStatusLine;
   }
 
   @Override
-  protected void decode(ChannelHandlerContext ctx, ByteBuf buffer, List<Object> out)
+  protected void decode(ChannelHandlerContext context, ByteBuf buffer, List<Object> out)
       throws Exception {
-    super.decode(ctx, buffer, out);
-    behindFirstLine &= out.isEmpty() || !(out.get(out.size() - 1) instanceof LastHttpContent);
+    super.decode(context, buffer, out);
+    if (!out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent) {
+      isPastStatusLine = false;
+    }
   }
 
   @Override
-  public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-    if (message instanceof ByteBuf bytes && !reader.accepts(bytes)) {
+  public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
+    if (message instanceof ByteBuf bytes && !filter.accepts(bytes)) {
       ReferenceCountUtil.release(message);
       return;
     }
-    super.channelRead(ctx, message);
+    super.channelRead(context, message);
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseHeadValidator.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseHeadValidator.java
@@ -11,28 +11,25 @@
 import loadbalancer.policy.event.AttemptStatus;
 import loadbalancer.proxy.http.UpstreamResponse;
 
-/** What the head of an upstream's answer is worth. */
+/** Checks of a response's head, and the attempt status that it stands for. */
 final class ResponseHeadValidator {
 
-  /**
-   * Interim answers that are skipped ahead of an answer; more come from an upstream that never
-   * answers.
-   */
-  static final int MOST_INTERIM = 10;
+  /** Set by an upstream on a response to a request that it has not processed. */
+  private static final String UNPROCESSED_HEADER = "X-Unprocessed";
 
   private ResponseHeadValidator() {}
 
   /**
-   * Whether the head tells in exactly one way where its body ends, and that within the protocol's
-   * limit. The codec refuses two lengths, and a length beside chunks, in HTTP/1.1 only: there is no
-   * other version here. Without either an answer can't be told from one cut short.
+   * Whether the head says in exactly one way where the body ends, and within the protocol's limit;
+   * otherwise a complete response cannot be told from a truncated one. The codec rejects two
+   * lengths, and a length beside chunked coding, in HTTP/1.1 only, so no other version is valid.
    */
-  static boolean sound(HttpResponse head) {
+  static boolean isValid(HttpResponse head) {
     if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)
         || head.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
       return false;
     }
-    if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
+    if (isInterim(head)) {
       return true;
     }
     List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
@@ -45,13 +42,25 @@
         && HttpUtil.getContentLength(head) <= UpstreamResponse.MAX_BODY_BYTES;
   }
 
-  /** Only X-Unprocessed proves that a request never ran; a bare 503 may stand for one that did. */
+  /** Whether this is an interim response (1xx), which comes ahead of the final one. */
+  static boolean isInterim(HttpResponse head) {
+    return head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+  }
+
+  /**
+   * How an attempt ended that got this final response. Only {@code X-Unprocessed} proves that the
+   * request never ran; a bare 503 may stand for one that did.
+   */
   static AttemptStatus statusOf(HttpResponse head) {
     int code = head.status().code();
-    if (code == 200) {
+    if (code == HttpResponseStatus.OK.code()) {
       return AttemptStatus.SERVED;
     }
-    boolean never = (code == 503 || code == 504) && "1".equals(head.headers().get("X-Unprocessed"));
-    return never ? AttemptStatus.REJECTED : AttemptStatus.ERROR;
+    boolean mayBeUnprocessed =
+        code == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
+            || code == HttpResponseStatus.GATEWAY_TIMEOUT.code();
+    return mayBeUnprocessed && "1".equals(head.headers().get(UNPROCESSED_HEADER))
+        ? AttemptStatus.REJECTED
+        : AttemptStatus.ERROR;
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
@@ -1,208 +1,227 @@
 package loadbalancer.proxy.upstream;
 
-import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpVersion;
+import io.netty.util.concurrent.Future;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.net.InetSocketAddress;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import java.util.function.BooleanSupplier;
 import loadbalancer.policy.event.AttemptStatus;
-import loadbalancer.proxy.http.ClientRequest;
-import loadbalancer.proxy.http.RequestHeaders;
-import loadbalancer.proxy.http.RequestMessage;
 import loadbalancer.proxy.http.UpstreamResponse;
 import loadbalancer.proxy.transport.EpochClock;
 
-/** One Send of the module: from the decision to exactly one outcome. */
+/**
+ * One attempt to have a request served by an upstream, from the policy's decision to exactly one
+ * outcome. All state belongs to the event loop.
+ */
 public final class UpstreamAttempt {
 
   /**
-   * A kept connection that breaks within so long of the request was broken before: no upstream
-   * answers as fast.
+   * A pooled connection that is reset within this time of the request's writing, before any byte
+   * came, was broken already when it was reused.
    */
-  private static final long STALE_NANOS = 50_000_000L;
-
-  /** Told how the attempt ended; the answer is null where none came whole. */
-  public interface Ending {
-    void ended(UpstreamAttempt attempt, AttemptStatus status, UpstreamResponse answer);
+  private static final long STALE_CONNECTION_RESET_NANOS = 50_000_000L;
+
+  /** An upstream is never told that no time is left: it would not begin the request. */
+  private static final long MIN_TIME_LEFT_MILLIS = 1;
+
+  /** Notified on the event loop, once, when an attempt completes. */
+  public interface CompletionListener {
+
+    /**
+     * Called when the attempt has completed.
+     *
+     * @param attempt the attempt
+     * @param status how it ended
+     * @param response the complete response, or null where none came
+     */
+    void attemptCompleted(UpstreamAttempt attempt, AttemptStatus status, UpstreamResponse response);
   }
 
-  public final int number;
-  public final long upstream;
-  final long decidedAt;
+  private final AttemptPlan plan;
   private final EndpointConnectionPool pool;
-  private final Ending ending;
+  private final EpochClock clock;
+  private final CompletionListener listener;
+
+  /** The connection that the request was written to, or null. */
   private UpstreamConnection connection;
+
+  /** The connection that was opened for this attempt, or null for a pooled one. */
   private ChannelFuture connecting;
-  private ScheduledFuture<?> timeout;
-  private long timeoutNanos;
-  private boolean sent;
-  private long sentAt;
-  private EpochClock clock;
+
+  private ScheduledFuture<?> timeoutTimer;
+  private boolean isForwarded;
+  private long forwardedAtNanos;
+  private boolean foundStaleConnection;
+
+  /** How the attempt ended; null while it is in flight. */
   private AttemptStatus status;
-  private boolean stale;
 
+  /**
+   * Makes an attempt that has not started.
+   *
+   * @param plan the decision that it carries out
+   * @param pool the connections to the endpoint
+   * @param clock the balancer's clock
+   * @param listener notified when the attempt completes, possibly from within {@link #start}
+   */
   public UpstreamAttempt(
-      int number, long upstream, long decidedAt, EndpointConnectionPool pool, Ending ending) {
-    this.number = number;
-    this.upstream = upstream;
-    this.decidedAt = decidedAt;
+      AttemptPlan plan,
+      EndpointConnectionPool pool,
+      EpochClock clock,
+      CompletionListener listener) {
+    this.plan = plan;
     this.pool = pool;
-    this.ending = ending;
+    this.clock = clock;
+    this.listener = listener;
   }
 
   /**
-   * Sends on an idle connection or a new one; {@code maySend} is asked again right before the first
-   * byte.
+   * Forwards the request on an idle connection, or on a new one once it is up.
+   *
+   * @param eventLoop runs the attempt's timeout
    */
-  public void start(
-      ClientRequest request,
-      long timeoutNanos,
-      BooleanSupplier maySend,
-      EpochClock clock,
-      EventLoop loop) {
-    this.clock = clock;
-    this.timeoutNanos = timeoutNanos;
-    timeout =
-        loop.schedule(
-            () -> end(AttemptStatus.TIMEOUT, null),
-            Math.max(0, timeoutNanos),
+  public void start(EventLoop eventLoop) {
+    timeoutTimer =
+        eventLoop.schedule(
+            () -> complete(AttemptStatus.TIMEOUT, null),
+            Math.max(0, plan.timeoutNanos()),
             TimeUnit.NANOSECONDS);
-    UpstreamConnection idle = pool.takeIdle();
+    UpstreamConnection idle = pool.acquireIdle();
     if (idle != null) {
-      write(idle, request, timeoutNanos, maySend);
+      forward(idle);
       return;
     }
-    connecting = pool.connect();
-    if (connecting == null) {
-      end(AttemptStatus.CONNECT_FAILED, null);
+    Optional<ChannelFuture> newConnection = pool.connect();
+    if (newConnection.isEmpty()) {
+      complete(AttemptStatus.CONNECT_FAILED, null);
       return;
     }
-    connecting.addListener(
-        done -> {
-          if (status != null) {
-            connecting.channel().close();
-          } else if (!done.isSuccess()) {
-            end(AttemptStatus.CONNECT_FAILED, null);
-          } else {
-            write(
-                connecting.channel().pipeline().get(UpstreamConnection.class),
-                request,
-                timeoutNanos,
-                maySend);
-          }
-        });
-  }
-
-  private void write(
-      UpstreamConnection to, ClientRequest request, long timeoutNanos, BooleanSupplier maySend) {
-    if (!maySend.getAsBoolean()) {
-      to.giveBack();
-      end(AttemptStatus.NOT_SENT, null);
-      return;
-    }
-    connection = to;
-    sent = true;
-    sentAt = clock.nowNanos();
-    long leftMillis = Math.max(1, (timeoutNanos - (sentAt - decidedAt)) / 1_000_000);
-    to.send(this, message(request, leftMillis));
-  }
-
-  private FullHttpRequest message(ClientRequest request, long leftMillis) {
-    RequestMessage received = request.message();
-    FullHttpRequest message =
-        new DefaultFullHttpRequest(
-            HttpVersion.HTTP_1_1,
-            received.method(),
-            received.uri(),
-            Unpooled.wrappedBuffer(received.body()));
-    message
-        .headers()
-        .set(HttpHeaderNames.HOST, received.host())
-        .set(RequestHeaders.CORRELATION_ID, request.requestId())
-        .set(RequestHeaders.TIME_LEFT_MILLIS, leftMillis)
-        .set(HttpHeaderNames.CONTENT_LENGTH, received.body().length);
-    if (received.idempotencyKey() != null) {
-      message.headers().set(RequestHeaders.IDEMPOTENCY_KEY, received.idempotencyKey());
+    connecting = newConnection.get();
+    connecting.addListener(this::connectCompleted);
+  }
+
+  private void connectCompleted(Future<? super Void> connected) {
+    if (!isInFlight()) {
+      connecting.channel().close();
+    } else if (!connected.isSuccess()) {
+      complete(AttemptStatus.CONNECT_FAILED, null);
+    } else {
+      forward(connecting.channel().pipeline().get(UpstreamConnection.class));
     }
-    if (received.contentType() != null) {
-      message.headers().set(HttpHeaderNames.CONTENT_TYPE, received.contentType());
+  }
+
+  private void forward(UpstreamConnection target) {
+    if (!plan.mayStillForward().getAsBoolean()) {
+      target.release();
+      complete(AttemptStatus.NOT_SENT, null);
+      return;
     }
-    return message;
+    connection = target;
+    isForwarded = true;
+    forwardedAtNanos = clock.nowNanos();
+    long timeLeftNanos = plan.timeoutNanos() - timeToFirstByteNanos();
+    long timeLeftMillis =
+        Math.max(MIN_TIME_LEFT_MILLIS, TimeUnit.NANOSECONDS.toMillis(timeLeftNanos));
+    target.send(this, UpstreamRequestFactory.create(plan.request(), timeLeftMillis));
+  }
+
+  /** The attempt's index, counted from 0 in forwarding order. */
+  public int index() {
+    return plan.index();
+  }
+
+  /** The endpoint that the request is forwarded to. */
+  public long endpointId() {
+    return plan.endpointId();
   }
 
+  /** The endpoint's address at the time of the decision. */
   public InetSocketAddress address() {
     return pool.address();
   }
 
-  public boolean out() {
+  /** Whether the attempt has not completed. */
+  public boolean isInFlight() {
     return status == null;
   }
 
-  /** Whether this attempt may have an effect by now. */
+  /** Whether the upstream may have run the request, or may still run it. */
   public boolean mayHaveRun() {
-    return sent && (status == null || !status.provesNotRun());
+    return isForwarded && (status == null || !status.provesNotRun());
   }
 
-  /** Whether the request found a kept connection broken, of which it could not know. */
+  /**
+   * Whether the attempt was reset because its pooled connection was broken before, which says
+   * nothing of the endpoint.
+   */
   public boolean foundStaleConnection() {
-    return stale;
+    return foundStaleConnection;
   }
 
-  public long sentAt() {
-    return sentAt;
+  /** When the first byte was written, on the balancer's clock; 0 while nothing was forwarded. */
+  public long forwardedAtNanos() {
+    return forwardedAtNanos;
   }
 
-  /** From the decision to the first byte; 0 of one that was not sent. */
-  public long unsentNanos() {
-    return sent ? sentAt - decidedAt : 0;
+  /** The time from the decision to the first byte; 0 while nothing was forwarded. */
+  public long timeToFirstByteNanos() {
+    return isForwarded ? forwardedAtNanos - plan.decidedAtNanos() : 0;
   }
 
   /**
-   * From the first byte's writing to the time given, when the answer came; of one that was not
-   * sent, from the decision. What passes before the writing is a connect, which a slow loop makes
-   * long, and no upstream's work.
+   * The time from the writing of the first byte, or from the decision where nothing was forwarded.
+   * Excludes the connect: a slow event loop makes it long, which is no work of the upstream.
+   *
+   * @param untilNanos when the response came, on the balancer's clock
    */
-  public long latencyNanos(long until) {
-    return Math.max(0, until - (sent ? sentAt : decidedAt));
+  public long latencyNanos(long untilNanos) {
+    long sinceNanos = isForwarded ? forwardedAtNanos : plan.decidedAtNanos();
+    return Math.max(0, untilNanos - sinceNanos);
   }
 
   /**
-   * Ends the attempt once; one that ends otherwise than by an answer takes its connection with it.
+   * Completes the attempt and notifies the listener; has no effect on a completed attempt. A
+   * timed-out or cancelled attempt takes its connection with it.
+   *
+   * @param outcome how the attempt ended
+   * @param response the complete response, or null where none came
    */
-  public void end(AttemptStatus how, UpstreamResponse answer) {
-    if (status != null) {
+  public void complete(AttemptStatus outcome, UpstreamResponse response) {
+    if (!isInFlight()) {
       return;
     }
-    status = how;
-    timeout.cancel(false);
-    stale =
-        how == AttemptStatus.RESET
-            && connecting == null
-            && connection.nothingHeard()
-            && clock.nowNanos() - sentAt < STALE_NANOS;
-    if (stale) {
-      // What was kept for longer has most likely gone the same way, and would cost an attempt each.
-      pool.closeOlderThan(connection.idleSince);
+    status = outcome;
+    timeoutTimer.cancel(false);
+    foundStaleConnection = outcome == AttemptStatus.RESET && wasConnectionStale();
+    if (foundStaleConnection) {
+      // Connections idle for longer have most likely broken too, and would cost an attempt each.
+      pool.closeIdleSince(connection.idleSinceNanos());
     }
-    if (how == AttemptStatus.TIMEOUT || how == AttemptStatus.CANCELLED) {
-      if (connection != null) {
-        connection.abort();
-      } else if (connecting != null) {
-        connecting.channel().close();
-      }
+    if (outcome == AttemptStatus.TIMEOUT || outcome == AttemptStatus.CANCELLED) {
+      closeConnection();
     }
-    if (how == AttemptStatus.TIMEOUT && !pool.heardWithin(timeoutNanos)) {
-      // A machine that vanished keeps its connections open and silent: none of them is used again.
-      // One that still
-      // answers others was only slow, and closing all would cost it a storm of new connections.
+    if (outcome == AttemptStatus.TIMEOUT && !pool.hasReceivedWithin(plan.timeoutNanos())) {
+      // A machine that vanished leaves its connections open and silent, so none is reused. One that
+      // still responds to others was only slow, and would suffer from a burst of new connections.
       pool.closeIdle();
     }
-    ending.ended(this, how, answer);
+    listener.attemptCompleted(this, outcome, response);
+  }
+
+  /** Whether the request was reset on a pooled connection that must have been broken before. */
+  private boolean wasConnectionStale() {
+    return connecting == null
+        && !connection.hasReceivedBytes()
+        && clock.nowNanos() - forwardedAtNanos < STALE_CONNECTION_RESET_NANOS;
+  }
+
+  private void closeConnection() {
+    if (connection != null) {
+      connection.abort();
+    } else if (connecting != null) {
+      connecting.channel().close();
+    }
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -5,17 +5,9 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpStatusClass;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.concurrent.ScheduledFuture;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.policy.event.AttemptStatus;
 import loadbalancer.proxy.http.UpstreamResponse;
@@ -24,34 +16,33 @@
 import loadbalancer.proxy.transport.RawBytesFilter;
 
 /**
- * A connection to an upstream: sends one attempt at a time and reads how it ended. Only once a read
- * is over with nothing left is the connection used again: whatever else comes on it belongs to no
- * request.
+ * A connection to an upstream: writes the request of one attempt at a time and completes the
+ * attempt. The connection is reused only if a read ended with a complete response and nothing
+ * behind it: any further bytes belong to no request. All state belongs to the event loop.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject>
     implements RawBytesFilter {
 
-  private static final byte[] START = "HTTP/1.1 ".getBytes(StandardCharsets.US_ASCII);
-
   /**
-   * From an answer's first byte to its last: it is small and written whole, so one that stalls is
-   * spoilt.
+   * The longest time from a response's first byte to its last: responses are small and written in
+   * one piece, so one that stalls is malformed.
    */
-  private static final long ANSWER_MILLIS = 300;
+  private static final long MAX_RESPONSE_READ_MILLIS = 300;
 
   private final EndpointConnectionPool pool;
   private final PeekableSocketChannel channel;
   private final ResponseDecoder decoder;
-  private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+  private final ResponseReader reader = new ResponseReader();
+
+  /** The attempt that waits for its response, or null. */
   private UpstreamAttempt attempt;
-  private ChannelFuture written;
-  private HttpResponse response;
-  private ScheduledFuture<?> stalled;
-  private long heard;
-  private int interim;
-  private boolean whole;
-  private boolean surplus;
-  long idleSince;
+
+  private ChannelFuture requestWritten;
+
+  /** Runs while a response has come in part; otherwise null. */
+  private ScheduledFuture<?> responseTimer;
+
+  private long idleSinceNanos;
 
   UpstreamConnection(
       EndpointConnectionPool pool, PeekableSocketChannel channel, ResponseDecoder decoder) {
@@ -61,36 +52,48 @@
   }
 
   /**
-   * False where the peer has closed, or has sent what nobody asked for. Guards a reuse against what
-   * the loop has still to read: a second copy of the last answer would be taken for the answer to
-   * the next request.
+   * False where the peer has closed the connection, or unexpected bytes wait on it that the event
+   * loop has not read: a second copy of the last response would be taken for the response to the
+   * next request.
    */
-  boolean usable() {
+  boolean isReusable() {
     return channel.isOpenWithNothingUnread();
   }
 
-  /** Nothing has come since the last request was written. */
-  boolean nothingHeard() {
-    return heard == 0;
+  /** Whether any byte has come since the last request was written. */
+  boolean hasReceivedBytes() {
+    return reader.hasReceivedBytes();
+  }
+
+  /** Called by the pool when it takes the connection in as an idle one. */
+  void markIdle() {
+    idleSinceNanos = System.nanoTime();
+  }
+
+  /** When the connection last became idle, by {@link System#nanoTime}. */
+  long idleSinceNanos() {
+    return idleSinceNanos;
+  }
+
+  boolean isIdleLongerThan(UpstreamConnection other) {
+    return idleSinceNanos - other.idleSinceNanos < 0;
   }
 
-  void giveBack() {
-    pool.giveBack(this);
+  /** Returns the connection to its pool unused. */
+  void release() {
+    pool.release(this);
   }
 
+  /** Writes an attempt's request; the attempt is completed by its response or by an error. */
   void send(UpstreamAttempt next, FullHttpRequest request) {
     attempt = next;
-    response = null;
-    heard = 0;
-    interim = 0;
-    whole = false;
-    body.reset();
-    written = channel.writeAndFlush(request);
+    reader.expectResponse();
+    requestWritten = channel.writeAndFlush(request);
   }
 
   /**
-   * Gives up what is on this connection so that nothing of it reaches the upstream later, which a
-   * mere end would.
+   * Closes the connection with a reset, so that no unsent rest of a request reaches the upstream
+   * later, as it could after an orderly close.
    */
   void abort() {
     if (channel.isOpen()) {
@@ -99,124 +102,107 @@
     close();
   }
 
-  /** Ends this connection; what is on it gets no outcome. */
+  /** Closes the connection; an attempt on it is not completed by this. */
   void close() {
     attempt = null;
-    stopWaiting();
+    cancelResponseTimer();
     channel.close();
     pool.remove(this);
   }
 
-  /** An answer's first bytes already show noise: it is not waited for any longer. */
   @Override
   public boolean accepts(ByteBuf bytes) {
-    pool.heard();
-    if (attempt == null || whole || surplus) {
-      surplus = true;
+    pool.recordReceived();
+    if (attempt == null) {
+      reader.recordUnexpectedInput();
       return false;
     }
-    boolean noise = false;
-    for (int i = 0; heard + i < START.length && i < bytes.readableBytes(); i++) {
-      noise |= bytes.getByte(bytes.readerIndex() + i) != START[(int) heard + i];
-    }
-    heard += bytes.readableBytes();
-    surplus = noise;
-    return !noise;
+    return reader.acceptBytes(bytes);
   }
 
   @Override
-  protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) throws IOException {
-    if (attempt == null || whole || message.decoderResult().isFailure()) {
-      surplus = true;
-      return;
-    }
-    if (message instanceof HttpResponse head) {
-      response = head;
-      surplus |=
-          !ResponseHeadValidator.sound(head)
-              || interim() && ++interim > ResponseHeadValidator.MOST_INTERIM;
-    }
-    if (message instanceof HttpContent part && response != null && !interim() && !surplus) {
-      part.content().readBytes(body, part.content().readableBytes());
-      surplus = body.size() > UpstreamResponse.MAX_BODY_BYTES;
-      whole = !surplus && message instanceof LastHttpContent;
+  protected void channelRead0(ChannelHandlerContext context, HttpObject message)
+      throws IOException {
+    if (attempt == null) {
+      reader.recordUnexpectedInput();
+    } else {
+      reader.read(message);
     }
   }
 
-  private boolean interim() {
-    return response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-  }
-
-  /**
-   * The read is over: a whole answer counts, whatever came behind it, and anything else that is too
-   * much does not.
-   */
+  /** A complete response counts whatever came behind it; other unexpected input is an error. */
   @Override
-  public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (whole && attempt != null) {
-      answered();
-    } else if (surplus) {
-      broken();
-    } else if (stalled == null && begun()) {
-      stalled = ctx.executor().schedule(this::broken, ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+  public void channelReadComplete(ChannelHandlerContext context) {
+    if (attempt != null && reader.isComplete()) {
+      completeWithResponse();
+    } else if (reader.hasUnexpectedInput()) {
+      completeAsBroken();
+    } else if (responseTimer == null && hasResponseInPart()) {
+      responseTimer =
+          context
+              .executor()
+              .schedule(this::completeAsBroken, MAX_RESPONSE_READ_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Part of the answer itself has come, not only of interim ones ahead of it. */
-  private boolean begun() {
-    return attempt != null && (decoder.leftOver() || response != null && !interim());
+  /** Whether a part of the final response has come, and not only of interim ones ahead of it. */
+  private boolean hasResponseInPart() {
+    return attempt != null && (decoder.hasUndecodedBytes() || reader.isReadingFinalResponse());
   }
 
-  private void answered() {
-    UpstreamAttempt ended = attempt;
+  private void completeWithResponse() {
+    UpstreamAttempt completed = attempt;
     attempt = null;
-    stopWaiting();
-    if (!surplus
-        && !decoder.leftOver()
-        && HttpUtil.isKeepAlive(response)
-        && written.isSuccess()
-        && channel.isActive()) {
-      pool.giveBack(this);
+    cancelResponseTimer();
+    UpstreamResponse response = reader.response();
+    AttemptStatus status = reader.status();
+    if (mayBeReused()) {
+      pool.release(this);
     } else {
       channel.close();
     }
-    ended.end(
-        ResponseHeadValidator.statusOf(response),
-        new UpstreamResponse(
-            body.toByteArray(), response.headers().get(HttpHeaderNames.CONTENT_TYPE)));
+    completed.complete(status, response);
+  }
+
+  private boolean mayBeReused() {
+    return !reader.hasUnexpectedInput()
+        && !decoder.hasUndecodedBytes()
+        && reader.isKeepAlive()
+        && requestWritten.isSuccess()
+        && channel.isActive();
   }
 
-  private void stopWaiting() {
-    if (stalled != null) {
-      stalled.cancel(false);
-      stalled = null;
+  private void cancelResponseTimer() {
+    if (responseTimer != null) {
+      responseTimer.cancel(false);
+      responseTimer = null;
     }
   }
 
   @Override
-  public void channelInactive(ChannelHandlerContext ctx) {
-    broken();
+  public void channelInactive(ChannelHandlerContext context) {
+    completeAsBroken();
   }
 
   @Override
-  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+  public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      EventLog.infoRateLimited("upstream " + pool.address() + ": " + cause);
+      EventLog.infoRateLimited(
+          "upstream: connection error address=" + pool.address() + " cause=" + cause);
     }
-    broken();
+    completeAsBroken();
   }
 
   /**
-   * The connection is of no use any more: what was on it ran perhaps, if its last byte went out or
-   * an answer came.
+   * Closes the connection. The attempt on it may have run if its request's last byte was written,
+   * or a byte of a response came.
    */
-  private void broken() {
-    UpstreamAttempt ended = attempt;
+  private void completeAsBroken() {
+    UpstreamAttempt completed = attempt;
     close();
-    if (ended != null) {
-      ended.end(
-          written.isSuccess() || heard > 0 ? AttemptStatus.RESET : AttemptStatus.CONNECT_FAILED,
-          null);
+    if (completed != null) {
+      boolean mayHaveRun = requestWritten.isSuccess() || reader.hasReceivedBytes();
+      completed.complete(mayHaveRun ? AttemptStatus.RESET : AttemptStatus.CONNECT_FAILED, null);
     }
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPools.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPools.java
@@ -11,53 +11,75 @@
 import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.proxy.transport.PeekableSocketChannel;
 
 /**
- * Connections to all upstreams: opens them, keeps them few and closes those that have stood idle.
+ * The connections to all upstreams: opens them within a limit and closes those that have been idle
+ * too long. All state belongs to the event loop.
  */
 public final class UpstreamConnectionPools {
 
   /**
-   * Idle connections go at this part of the upstream's own limit: one written to after that would
-   * end as a reset.
+   * Idle connections are closed at this fraction of the upstream's own timeout: a request written
+   * to one that the upstream closes at that moment would end as a reset.
    */
-  private static final double IDLE_PART = 0.7;
+  private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
-  private static final int SWEEPS = 20;
+  /** Sweeps for idle connections in the time after which one is closed. */
+  private static final int SWEEPS_PER_IDLE_TIMEOUT = 20;
+
+  private static final long MIN_SWEEP_PERIOD_NANOS = 1_000_000L;
+  private static final long MIN_CONNECT_TIMEOUT_MILLIS = 1;
 
   private final Bootstrap bootstrap;
-  private final int most;
-  private final long idleNanos;
+  private final int maxConnections;
+  private final long maxIdleNanos;
   private final Set<EndpointConnectionPool> pools = new LinkedHashSet<>();
-  private final Future<?> sweep;
-  private int open;
+  private final Future<?> idleSweep;
+  private int openConnections;
 
-  public UpstreamConnectionPools(EventLoop loop, ConnectionLimits limits) {
-    this(loop, limits, PeekableSocketChannel::new);
+  /**
+   * Makes pools on TCP sockets.
+   *
+   * @param eventLoop the thread of all connections
+   * @param limits the limits on connections to all upstreams
+   */
+  public UpstreamConnectionPools(EventLoop eventLoop, ConnectionLimits limits) {
+    this(eventLoop, limits, PeekableSocketChannel::new);
   }
 
-  /** One whose sockets {@code sockets} makes. */
+  /**
+   * Makes pools on the sockets of a factory.
+   *
+   * @param eventLoop the thread of all connections
+   * @param limits the limits on connections to all upstreams
+   * @param channelFactory makes sockets of type {@link PeekableSocketChannel}
+   */
   public UpstreamConnectionPools(
-      EventLoop loop, ConnectionLimits limits, ChannelFactory<Channel> sockets) {
-    most = limits.maxConnections();
-    idleNanos = (long) (limits.idleTimeoutNanos() * IDLE_PART);
+      EventLoop eventLoop, ConnectionLimits limits, ChannelFactory<Channel> channelFactory) {
+    maxConnections = limits.maxConnections();
+    maxIdleNanos = (long) (limits.idleTimeoutNanos() * IDLE_TIMEOUT_FRACTION);
+    long connectTimeoutMillis =
+        Math.max(
+            MIN_CONNECT_TIMEOUT_MILLIS,
+            TimeUnit.NANOSECONDS.toMillis(limits.connectTimeoutNanos()));
     bootstrap =
         new Bootstrap()
-            .group(loop)
-            .channelFactory(sockets)
+            .group(eventLoop)
+            .channelFactory(channelFactory)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(
-                ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                (int) Math.max(1, limits.connectTimeoutNanos() / 1_000_000));
-    long period = Math.max(1_000_000, idleNanos / SWEEPS);
-    sweep = loop.scheduleAtFixedRate(this::closeOld, period, period, TimeUnit.NANOSECONDS);
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectTimeoutMillis);
+    long periodNanos = Math.max(MIN_SWEEP_PERIOD_NANOS, maxIdleNanos / SWEEPS_PER_IDLE_TIMEOUT);
+    idleSweep =
+        eventLoop.scheduleAtFixedRate(
+            this::closeLongIdle, periodNanos, periodNanos, TimeUnit.NANOSECONDS);
   }
 
-  /** The pool of an upstream that is new or has a new address. */
+  /** Makes the pool of an upstream that is new or has a new address. */
   public EndpointConnectionPool createPool(InetSocketAddress address) {
     EndpointConnectionPool pool = new EndpointConnectionPool(this, address);
     pools.add(pool);
@@ -65,63 +87,71 @@
   }
 
   /**
-   * Opens a connection; null where the limit on sockets, or the process's on descriptors, leaves no
-   * room for one.
+   * Opens a connection; empty where the limit on connections, or the process's limit on
+   * descriptors, leaves none.
    */
-  ChannelFuture connect(EndpointConnectionPool pool) {
-    if (open >= most && !closeOldest()) {
-      return null;
+  Optional<ChannelFuture> connect(EndpointConnectionPool pool) {
+    if (openConnections >= maxConnections && !closeLongestIdle()) {
+      return Optional.empty();
     }
     ChannelFuture connecting =
-        bootstrap
-            .clone()
-            .handler(
-                new ChannelInitializer<Channel>() {
-                  @Override
-                  protected void initChannel(Channel channel) {
-                    ResponseDecoder decoder = new ResponseDecoder();
-                    UpstreamConnection connection =
-                        new UpstreamConnection(pool, (PeekableSocketChannel) channel, decoder);
-                    decoder.reader(connection);
-                    channel.pipeline().addLast(new HttpRequestEncoder(), decoder, connection);
-                  }
-                })
-            .connect(pool.address());
+        bootstrap.clone().handler(new ConnectionInitializer(pool)).connect(pool.address());
     if (!connecting.channel().isRegistered()) {
-      // There is no socket: its end would never be told, and its failure only on another thread
-      // than the loop's.
-      return null;
+      // No socket was made: Netty would never signal its close, and its failure on another thread.
+      return Optional.empty();
     }
-    open++;
-    connecting.channel().closeFuture().addListener(closed -> open--);
-    return connecting;
+    openConnections++;
+    connecting.channel().closeFuture().addListener(closed -> openConnections--);
+    return Optional.of(connecting);
   }
 
-  void forget(EndpointConnectionPool pool) {
+  void remove(EndpointConnectionPool pool) {
     pools.remove(pool);
   }
 
-  /** Ends the pool: closes what is idle and looks for no more. */
+  /** Closes all pools and stops the sweeps for idle connections. */
   public void close() {
-    sweep.cancel(false);
+    idleSweep.cancel(false);
     List.copyOf(pools).forEach(EndpointConnectionPool::close);
   }
 
-  private void closeOld() {
-    long before = System.nanoTime() - idleNanos;
-    pools.forEach(p -> p.closeOlderThan(before));
+  private void closeLongIdle() {
+    long idleSinceNanos = System.nanoTime() - maxIdleNanos;
+    pools.forEach(pool -> pool.closeIdleSince(idleSinceNanos));
   }
 
-  private boolean closeOldest() {
-    UpstreamConnection oldest = null;
+  /** Closes the connection that has been idle longest; false where none is idle. */
+  private boolean closeLongestIdle() {
+    UpstreamConnection longestIdle = null;
     for (EndpointConnectionPool pool : pools) {
-      UpstreamConnection next = pool.oldest();
-      oldest =
-          oldest == null || next != null && next.idleSince - oldest.idleSince < 0 ? next : oldest;
+      UpstreamConnection candidate = pool.longestIdle();
+      if (longestIdle == null || candidate != null && candidate.isIdleLongerThan(longestIdle)) {
+        longestIdle = candidate;
+      }
+    }
+    if (longestIdle == null) {
+      return false;
     }
-    if (oldest != null) {
-      oldest.close();
+    longestIdle.close();
+    return true;
+  }
+
+  /** Sets up the handlers of a connection that is coming up. */
+  private static final class ConnectionInitializer extends ChannelInitializer<Channel> {
+
+    private final EndpointConnectionPool pool;
+
+    ConnectionInitializer(EndpointConnectionPool pool) {
+      this.pool = pool;
+    }
+
+    @Override
+    protected void initChannel(Channel channel) {
+      ResponseDecoder decoder = new ResponseDecoder();
+      UpstreamConnection connection =
+          new UpstreamConnection(pool, (PeekableSocketChannel) channel, decoder);
+      decoder.setFilter(connection);
+      channel.pipeline().addLast(new HttpRequestEncoder(), decoder, connection);
     }
-    return oldest != null;
   }
 }
--- a/src/test/java/loadbalancer/proxy/upstream/EndpointTableTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/EndpointTableTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNotSame;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,7 +20,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What is remembered of upstreams that come and go all day. */
+/** Which upstreams the table holds, and what it says of them, as the endpoint list changes. */
 class EndpointTableTest {
 
   private final EventLoop loop =
@@ -29,9 +30,9 @@
           new UpstreamConnectionPools(
               loop, new ConnectionLimits(1_000_000_000L, 60_000_000_000L, 10)));
 
-  private static EndpointList.Host host(long id, EndpointStatus state) {
+  private static EndpointList.Host host(long id, EndpointStatus status) {
     return new EndpointList.Host(
-        TestProxy.unreachableAddress(), new EndpointDescriptor(id, "a", 1, state, 0, 1));
+        TestProxy.unreachableAddress(), new EndpointDescriptor(id, "a", 1, status, 0, 1));
   }
 
   @AfterEach
@@ -40,49 +41,49 @@
   }
 
   @Test
-  void thousandReplacedUpstreamsLeaveNothingBehind() {
-    table.news(true, List.of(host(0, EndpointStatus.READY)));
+  void replacedEndpointsAreForgotten() {
+    table.applyFullList(List.of(host(0, EndpointStatus.READY)));
     for (int id = 1; id <= 1_000; id++) {
-      table.news(
-          false, List.of(host(id, EndpointStatus.READY), host(id - 1, EndpointStatus.DRAINING)));
-      table.news(false, List.of(host(id - 1, EndpointStatus.REMOVED)));
+      table.applyChanges(
+          List.of(host(id, EndpointStatus.READY), host(id - 1, EndpointStatus.DRAINING)));
+      table.applyChanges(List.of(host(id - 1, EndpointStatus.REMOVED)));
     }
     assertEquals(1, table.size());
-    assertNotNull(table.get(1_000));
+    assertNotNull(table.find(1_000));
   }
 
   @Test
-  void oneThatIsGoneIsRememberedWhileAnAttemptIsOut() {
-    table.news(true, List.of(host(1, EndpointStatus.READY), host(2, EndpointStatus.READY)));
-    EndpointTable.Entry first = table.get(1);
-    table.started(first);
-    table.news(true, List.of(host(2, EndpointStatus.READY)));
-    assertSame(first, table.get(1));
-    assertTrue(first.leaving(), "absent from a whole list");
-    table.ended(first);
-    assertNull(table.get(1));
-    assertTrue(first.leaving(), "a send that is still to come may ask");
+  void removedEndpointIsKeptWhileAnAttemptIsInFlight() {
+    table.applyFullList(List.of(host(1, EndpointStatus.READY), host(2, EndpointStatus.READY)));
+    UpstreamEndpoint first = table.find(1);
+    table.attemptStarted(first);
+    table.applyFullList(List.of(host(2, EndpointStatus.READY)));
+    assertSame(first, table.find(1));
+    assertTrue(first.isDraining(), "absent from a full list");
+    table.attemptCompleted(first);
+    assertNull(table.find(1));
+    assertTrue(first.isDraining(), "an attempt that is about to be forwarded may ask");
   }
 
   @Test
-  void successorAtTheSameAddressInheritsNothing() {
-    table.news(true, List.of(host(1, EndpointStatus.READY)));
-    table.news(false, List.of(host(1, EndpointStatus.DRAINING)));
-    EndpointConnectionPool before = table.get(1).pool();
-    table.news(false, List.of(host(2, EndpointStatus.READY)));
-    EndpointConnectionPool after = table.get(2).pool();
+  void successorAtTheSameAddressInheritsNoConnections() {
+    table.applyFullList(List.of(host(1, EndpointStatus.READY)));
+    table.applyChanges(List.of(host(1, EndpointStatus.DRAINING)));
+    EndpointConnectionPool before = table.find(1).pool();
+    table.applyChanges(List.of(host(2, EndpointStatus.READY)));
+    EndpointConnectionPool after = table.find(2).pool();
     assertEquals(before.address(), after.address());
-    assertFalse(before == after);
-    assertFalse(table.get(2).leaving());
-    assertTrue(table.get(1).leaving());
+    assertNotSame(before, after);
+    assertFalse(table.find(2).isDraining());
+    assertTrue(table.find(1).isDraining());
   }
 
   @Test
-  void oneThatIsReadyAgainLeavesNoMore() {
-    table.news(true, List.of(host(1, EndpointStatus.READY)));
-    table.news(false, List.of(host(1, EndpointStatus.DRAINING)));
-    table.news(false, List.of(host(1, EndpointStatus.REMOVED)));
-    table.news(false, List.of(host(1, EndpointStatus.READY)));
-    assertFalse(table.get(1).leaving());
+  void endpointThatIsReadyAgainIsNotDraining() {
+    table.applyFullList(List.of(host(1, EndpointStatus.READY)));
+    table.applyChanges(List.of(host(1, EndpointStatus.DRAINING)));
+    table.applyChanges(List.of(host(1, EndpointStatus.REMOVED)));
+    table.applyChanges(List.of(host(1, EndpointStatus.READY)));
+    assertFalse(table.find(1).isDraining());
   }
 }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolsTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolsTest.java
@@ -8,6 +8,7 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.handler.codec.http.HttpMethod;
 import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
@@ -25,93 +26,103 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Limits of the pool, and what a send comes to that is over before its first byte. */
+/** Limits and reuse of pooled connections, and attempts that may not be forwarded any more. */
 class UpstreamConnectionPoolsTest {
 
-  private static final long LONG = 60_000_000_000L;
+  private static final long LONG_NANOS = 60_000_000_000L;
 
   private final EventLoop loop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-  private final BlockingQueue<AttemptStatus> outcomes = new LinkedBlockingQueue<>();
-
-  private void send(
-      EndpointConnectionPool pool, String id, boolean maySend, UpstreamAttempt.Ending ending) {
-    RequestClass type =
+  private final BlockingQueue<AttemptStatus> statuses = new LinkedBlockingQueue<>();
+
+  private void startAttempt(
+      EndpointConnectionPool pool,
+      String requestId,
+      boolean mayStillForward,
+      UpstreamAttempt.CompletionListener listener) {
+    RequestClass requestClass =
         new RequestClass(
             "look",
             RequestEffect.IDEMPOTENT,
             DeduplicationScope.ALL,
-            LONG,
-            LONG,
+            LONG_NANOS,
+            LONG_NANOS,
             0,
-            LONG,
+            LONG_NANOS,
             1,
             0,
             false);
     ClientRequest request =
         new ClientRequest(
-            id,
-            type,
+            requestId,
+            requestClass,
             "acme",
             "k",
-            LONG,
+            LONG_NANOS,
             0,
             false,
             new RequestMessage(HttpMethod.GET, "/look", "h", null, null, new byte[0]));
-    new UpstreamAttempt(0, 1, 0, pool, ending)
-        .start(request, LONG, () -> maySend, new EpochClock(), loop);
+    AttemptPlan plan = new AttemptPlan(0, 1, request, 0, LONG_NANOS, () -> mayStillForward);
+    new UpstreamAttempt(plan, pool, new EpochClock(), listener).start(loop);
   }
 
-  private void attempt(EndpointConnectionPool pool, boolean maySend) {
-    loop.execute(() -> send(pool, "1", maySend, (attempt, status, answer) -> outcomes.add(status)));
+  private void startAttempt(EndpointConnectionPool pool, boolean mayStillForward) {
+    loop.execute(
+        () ->
+            startAttempt(
+                pool, "1", mayStillForward, (attempt, status, response) -> statuses.add(status)));
   }
 
-  private AttemptStatus outcome() throws InterruptedException {
-    return outcomes.poll(30, TimeUnit.SECONDS);
+  private AttemptStatus nextStatus() throws InterruptedException {
+    return statuses.poll(30, TimeUnit.SECONDS);
   }
 
-  private UpstreamConnectionPools pool(long idleNanos, int most) throws Exception {
+  private UpstreamConnectionPools pools(long idleTimeoutNanos, int maxConnections)
+      throws Exception {
     return loop.submit(
-            () -> new UpstreamConnectionPools(loop, new ConnectionLimits(LONG, idleNanos, most)))
+            () ->
+                new UpstreamConnectionPools(
+                    loop, new ConnectionLimits(LONG_NANOS, idleTimeoutNanos, maxConnections)))
         .get();
   }
 
   @Test
-  void secondCopyRightBehindAnAnswerIsNotTheNextSendsAnswer() throws Exception {
-    // The next send starts from within the first one's outcome, as a module does that had a request
-    // waiting.
+  void secondCopyOfAResponseIsNotTakenForTheNextRequestsResponse() throws Exception {
+    // The next attempt starts from within the first one's completion, as one for a request that
+    // waits in the policy's queue does.
     try (FakeHttpServer upstream =
         new FakeHttpServer(
             (request, connection, out) -> {
-              String answer =
+              String response =
                   FakeHttpServer.okResponse(
                       request.contains("X-Correlation-Id: 1\n") ? "mine" : "next");
-              FakeHttpServer.write(out, answer + answer);
+              FakeHttpServer.write(out, response + response);
             })) {
-      EndpointConnectionPool pool = of(pool(LONG, 10), upstream.address());
+      EndpointConnectionPool pool = poolOf(pools(LONG_NANOS, 10), upstream.address());
       BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
       loop.execute(
           () ->
-              send(
+              startAttempt(
                   pool,
                   "1",
                   true,
-                  (first, status, answer) -> {
-                    bodies.add(new String(answer.body()));
-                    send(
+                  (first, firstStatus, firstResponse) -> {
+                    bodies.add(new String(firstResponse.body(), StandardCharsets.UTF_8));
+                    startAttempt(
                         pool,
                         "2",
                         true,
-                        (second, status2, answer2) -> bodies.add(new String(answer2.body())));
+                        (second, secondStatus, secondResponse) ->
+                            bodies.add(new String(secondResponse.body(), StandardCharsets.UTF_8)));
                   }));
       assertEquals("mine", bodies.poll(30, TimeUnit.SECONDS));
       assertEquals("next", bodies.poll(30, TimeUnit.SECONDS));
     }
   }
 
-  private EndpointConnectionPool of(UpstreamConnectionPools pool, InetSocketAddress address)
+  private EndpointConnectionPool poolOf(UpstreamConnectionPools pools, InetSocketAddress address)
       throws Exception {
-    return loop.submit(() -> pool.createPool(address)).get();
+    return loop.submit(() -> pools.createPool(address)).get();
   }
 
   @AfterEach
@@ -120,30 +131,31 @@
   }
 
   @Test
-  void sendThatIsOverWhenTheConnectionIsUpWritesNothingAndLeavesItForTheNext() throws Exception {
+  void attemptThatMayNotBeForwardedAnyMoreWritesNothingAndLeavesItsConnectionToTheNext()
+      throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      EndpointConnectionPool pool = of(pool(LONG, 10), upstream.address());
-      attempt(pool, false);
-      assertEquals(AttemptStatus.NOT_SENT, outcome());
-      attempt(pool, true);
-      assertEquals(AttemptStatus.SERVED, outcome());
+      EndpointConnectionPool pool = poolOf(pools(LONG_NANOS, 10), upstream.address());
+      startAttempt(pool, false);
+      assertEquals(AttemptStatus.NOT_SENT, nextStatus());
+      startAttempt(pool, true);
+      assertEquals(AttemptStatus.SERVED, nextStatus());
       assertEquals(1, upstream.requests.size());
       assertEquals(1, upstream.connections.size());
     }
   }
 
   @Test
-  void idleConnectionIsClosedBeforeTheUpstreamWould() throws Exception {
+  void idleConnectionIsClosedBeforeTheUpstreamsIdleTimeout() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      attempt(of(pool(100_000_000L, 10), upstream.address()), true);
-      assertEquals(AttemptStatus.SERVED, outcome());
+      startAttempt(poolOf(pools(100_000_000L, 10), upstream.address()), true);
+      assertEquals(AttemptStatus.SERVED, nextStatus());
       TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
     }
   }
 
   @Test
-  void keptConnectionThatWasBrokenTakesThoseWithItThatWereKeptForLonger() throws Exception {
-    AtomicInteger waiting = new AtomicInteger();
+  void stalePooledConnectionClosesThoseThatWereIdleForLonger() throws Exception {
+    AtomicInteger waitingRequests = new AtomicInteger();
     try (FakeHttpServer upstream =
         new FakeHttpServer(
             (request, connection, out) -> {
@@ -152,81 +164,81 @@
                 connection.close();
                 return;
               }
-              waiting.incrementAndGet();
-              TestProxy.waitUntil(() -> waiting.get() == 3);
+              waitingRequests.incrementAndGet();
+              TestProxy.waitUntil(() -> waitingRequests.get() == 3);
               FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
             })) {
-      EndpointConnectionPool pool = of(pool(LONG, 10), upstream.address());
+      EndpointConnectionPool pool = poolOf(pools(LONG_NANOS, 10), upstream.address());
       for (int i = 0; i < 3; i++) {
-        attempt(pool, true);
+        startAttempt(pool, true);
       }
       for (int i = 0; i < 3; i++) {
-        assertEquals(AttemptStatus.SERVED, outcome());
+        assertEquals(AttemptStatus.SERVED, nextStatus());
       }
       loop.execute(
-          () -> send(pool, "break", true, (attempt, status, answer) -> outcomes.add(status)));
-      assertEquals(AttemptStatus.RESET, outcome());
+          () ->
+              startAttempt(
+                  pool, "break", true, (attempt, status, response) -> statuses.add(status)));
+      assertEquals(AttemptStatus.RESET, nextStatus());
       TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 3);
     }
   }
 
   @Test
-  void atTheLimitAnIdleConnectionGivesWayAndABusyOneDoesNot() throws Exception {
+  void atTheLimitAnIdleConnectionIsClosedForANewOneAndABusyOneIsNot() throws Exception {
     try (FakeHttpServer first = FakeHttpServer.respondingWith("fine");
-        FakeHttpServer second = new FakeHttpServer((r, c, out) -> {})) {
-      UpstreamConnectionPools pool = pool(LONG, 1);
-      EndpointConnectionPool toFirst = of(pool, first.address());
-      attempt(toFirst, true);
-      assertEquals(AttemptStatus.SERVED, outcome());
-      attempt(of(pool, second.address()), true);
+        FakeHttpServer second = new FakeHttpServer((request, connection, out) -> {})) {
+      UpstreamConnectionPools pools = pools(LONG_NANOS, 1);
+      EndpointConnectionPool toFirst = poolOf(pools, first.address());
+      startAttempt(toFirst, true);
+      assertEquals(AttemptStatus.SERVED, nextStatus());
+      startAttempt(poolOf(pools, second.address()), true);
       TestProxy.waitUntil(
           () -> first.connectionsClosedByPeer.get() == 1 && second.requests.size() == 1);
-      attempt(toFirst, true);
-      assertEquals(AttemptStatus.CONNECT_FAILED, outcome());
+      startAttempt(toFirst, true);
+      assertEquals(AttemptStatus.CONNECT_FAILED, nextStatus());
       assertEquals(1, first.requests.size());
     }
   }
 
-  /**
-   * Guards the one event loop: Netty tells of a socket that it could not make on a thread of its
-   * own.
-   */
+  /** Netty signals a socket that it could not make on a thread other than the event loop's. */
   @Test
-  void attemptWithoutADescriptorForItsSocketFailsAtOnceAndTakesNoRoom() throws Exception {
+  void attemptWithoutADescriptorForItsSocketFailsAtOnceAndTakesNoCapacity() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      AtomicInteger left = new AtomicInteger(2);
+      AtomicInteger failuresLeft = new AtomicInteger(2);
       EndpointConnectionPool pool =
-          of(
+          poolOf(
               loop.submit(
                       () ->
                           new UpstreamConnectionPools(
                               loop,
-                              new ConnectionLimits(LONG, LONG, 1),
+                              new ConnectionLimits(LONG_NANOS, LONG_NANOS, 1),
                               () -> {
-                                if (left.getAndDecrement() > 0) {
+                                if (failuresLeft.getAndDecrement() > 0) {
                                   throw new ChannelException("too many open files");
                                 }
                                 return new PeekableSocketChannel();
                               }))
                   .get(),
               upstream.address());
-      BlockingQueue<Boolean> onLoop = new LinkedBlockingQueue<>();
+      BlockingQueue<Boolean> completedOnLoop = new LinkedBlockingQueue<>();
       for (int i = 0; i < 2; i++) {
         loop.execute(
             () ->
-                send(
+                startAttempt(
                     pool,
                     "1",
                     true,
-                    (attempt, status, answer) -> {
-                      outcomes.add(status);
-                      onLoop.add(loop.inEventLoop());
+                    (attempt, status, response) -> {
+                      statuses.add(status);
+                      completedOnLoop.add(loop.inEventLoop());
                     }));
-        assertEquals(AttemptStatus.CONNECT_FAILED, outcome());
-        assertEquals(true, onLoop.poll(30, TimeUnit.SECONDS), "an outcome is the loop's");
+        assertEquals(AttemptStatus.CONNECT_FAILED, nextStatus());
+        assertEquals(
+            true, completedOnLoop.poll(30, TimeUnit.SECONDS), "completed on the event loop");
       }
-      attempt(pool, true);
-      assertEquals(AttemptStatus.SERVED, outcome());
+      startAttempt(pool, true);
+      assertEquals(AttemptStatus.SERVED, nextStatus());
     }
   }
 }
