--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/coordinator/AttemptForwarder.java
@@ -0,0 +1,88 @@
+package loadbalancer.proxy.coordinator;
+
+import java.util.List;
+import loadbalancer.policy.action.CancelAttempt;
+import loadbalancer.policy.action.ForwardAttempt;
+import loadbalancer.policy.event.AttemptStatus;
+import loadbalancer.proxy.upstream.AttemptPlan;
+import loadbalancer.proxy.upstream.UpstreamAttempt;
+import loadbalancer.proxy.upstream.UpstreamEndpoint;
+
+/** Starts and cancels attempts as the policy decides. For the event loop's thread only. */
+final class AttemptForwarder {
+
+  private final CoordinatorEnvironment environment;
+  private final CoordinatorTables tables;
+  private final ForwardingRules rules;
+  private final AttemptCompletionHandler completionHandler;
+
+  /**
+   * Makes a forwarder.
+   *
+   * @param environment the clock and the event loop
+   * @param tables the open requests and the endpoints
+   * @param rules checked right before an attempt's first byte
+   * @param completionHandler notified of each attempt's outcome
+   */
+  AttemptForwarder(
+      CoordinatorEnvironment environment,
+      CoordinatorTables tables,
+      ForwardingRules rules,
+      AttemptCompletionHandler completionHandler) {
+    this.environment = environment;
+    this.tables = tables;
+    this.rules = rules;
+    this.completionHandler = completionHandler;
+  }
+
+  /**
+   * Starts an attempt.
+   *
+   * @throws PolicyDefectException if the request is not open or the endpoint not known
+   */
+  void forward(ForwardAttempt action) {
+    OpenRequest request = tables.requests().find(action.requestId());
+    UpstreamEndpoint endpoint = tables.endpoints().find(action.endpointId());
+    if (request == null || endpoint == null) {
+      throw new PolicyDefectException(
+          "forwarded an unknown request or to an unknown endpoint: " + action);
+    }
+    UpstreamAttempt attempt =
+        new UpstreamAttempt(
+            plan(action, request, endpoint),
+            endpoint.pool(),
+            environment.clock(),
+            (completed, status, response) ->
+                completionHandler.attemptCompleted(request, endpoint, completed, response));
+    tables.endpoints().attemptStarted(endpoint);
+    request.attempts().add(attempt);
+    attempt.start(environment.eventLoop());
+  }
+
+  private AttemptPlan plan(ForwardAttempt action, OpenRequest request, UpstreamEndpoint endpoint) {
+    int index = request.attempts().size();
+    long nowNanos = environment.clock().nowNanos();
+    long timeLeftNanos = request.deadlineNanos() - nowNanos;
+    long timeoutNanos =
+        action.timeoutNanos() == 0 ? timeLeftNanos : Math.min(action.timeoutNanos(), timeLeftNanos);
+    return new AttemptPlan(
+        index,
+        action.endpointId(),
+        request.request(),
+        nowNanos,
+        timeoutNanos,
+        () -> rules.mayStillForward(request, index, endpoint));
+  }
+
+  /** Cancels an attempt; has no effect if it has completed or was never made. */
+  void cancel(CancelAttempt action) {
+    OpenRequest request = tables.requests().find(action.requestId());
+    if (request == null) {
+      return;
+    }
+    List<UpstreamAttempt> attempts = request.attempts();
+    if (action.attempt() < attempts.size()) {
+      attempts.get(action.attempt()).complete(AttemptStatus.CANCELLED, null);
+    }
+  }
+}
--- a/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
@@ -4,54 +4,108 @@
 import java.util.ArrayList;
 import java.util.List;
 import loadbalancer.policy.settings.DeduplicationScope;
+import loadbalancer.policy.settings.RequestClass;
 import loadbalancer.policy.settings.RequestEffect;
 import loadbalancer.proxy.http.ClientRequest;
 import loadbalancer.proxy.upstream.UpstreamAttempt;
 
-/** A request in the table: until it has its final answer and each of its attempts has ended. */
+/**
+ * A client's request until it has its final response and none of its attempts is in flight.
+ * Completed by {@link OpenRequestTable} only; its state belongs to the event loop.
+ */
 final class OpenRequest {
 
-  final ClientRequest request;
-  final DownstreamClient client;
+  private final ClientRequest request;
+  private final DownstreamClient client;
+  private final long deadlineNanos;
+  private final List<UpstreamAttempt> attempts = new ArrayList<>(1);
+  private ScheduledFuture<?> deadlineTimer;
+  private boolean isCompleted;
 
-  /** When the module has to have answered, by the balancer's clock. */
-  final long deadline;
-
-  final List<UpstreamAttempt> attempts = new ArrayList<>(1);
-  ScheduledFuture<?> guard;
-  boolean ended;
-
-  OpenRequest(ClientRequest request, DownstreamClient client, long deadline) {
+  /**
+   * Makes a request that has no response and no attempt yet.
+   *
+   * @param request what the client sent
+   * @param client who waits for the response
+   * @param deadlineNanos when the policy must have decided on the response, on the balancer's clock
+   */
+  OpenRequest(ClientRequest request, DownstreamClient client, long deadlineNanos) {
     this.request = request;
     this.client = client;
-    this.deadline = deadline;
+    this.deadlineNanos = deadlineNanos;
+  }
+
+  String id() {
+    return request.requestId();
+  }
+
+  ClientRequest request() {
+    return request;
+  }
+
+  DownstreamClient client() {
+    return client;
+  }
+
+  /** When the policy must have decided on the response, on the balancer's clock. */
+  long deadlineNanos() {
+    return deadlineNanos;
+  }
+
+  /** The attempts made so far, in forwarding order. */
+  List<UpstreamAttempt> attempts() {
+    return attempts;
+  }
+
+  /** Sets the timer that is cancelled once the request is completed. */
+  void setDeadlineTimer(ScheduledFuture<?> timer) {
+    deadlineTimer = timer;
+  }
+
+  /** Whether the final response was sent, or the client disconnected. */
+  boolean isCompleted() {
+    return isCompleted;
   }
 
-  boolean over() {
-    return ended && attempts.stream().noneMatch(UpstreamAttempt::isInFlight);
+  /** Marks the request as completed and cancels its deadline timer; false if it was before. */
+  boolean complete() {
+    if (isCompleted) {
+      return false;
+    }
+    isCompleted = true;
+    deadlineTimer.cancel(false);
+    return true;
   }
 
-  boolean mayHaveRun() {
-    return attempts.stream().anyMatch(UpstreamAttempt::mayHaveRun);
+  /** Whether the request is completed and none of its attempts is in flight. */
+  boolean isFinished() {
+    return isCompleted && attempts.stream().noneMatch(UpstreamAttempt::isInFlight);
   }
 
-  /** Whether a refusal's promise, that trying again is harmless, would be true. */
-  boolean mayRefuse() {
-    return request.requestClass().effect() == RequestEffect.IDEMPOTENT
-        || !mayHaveRun()
-        || request.requestClass().effect() == RequestEffect.IDEMPOTENT_WITH_KEY
-            && request.requestClass().deduplicationScope() == DeduplicationScope.ALL;
+  /** Whether a rejection's promise would be true: that it is safe to send the request again. */
+  boolean mayBeRejected() {
+    RequestClass requestClass = request.requestClass();
+    return requestClass.effect() == RequestEffect.IDEMPOTENT
+        || attempts.stream().noneMatch(UpstreamAttempt::mayHaveRun)
+        || requestClass.effect() == RequestEffect.IDEMPOTENT_WITH_KEY
+            && requestClass.deduplicationScope() == DeduplicationScope.ALL;
   }
 
-  /** Whether what an earlier attempt may have done is still remembered by its upstream's group. */
-  boolean repeatIsHarmless(long now) {
-    return request.requestClass().effect() == RequestEffect.IDEMPOTENT
-        || attempts.stream()
-            .filter(UpstreamAttempt::mayHaveRun)
-            .allMatch(
-                a ->
-                    request.requestClass().effect() == RequestEffect.IDEMPOTENT_WITH_KEY
-                        && now - a.forwardedAtNanos()
-                            < request.requestClass().deduplicationWindowNanos());
+  /**
+   * Whether another attempt could not make the request run twice: every earlier attempt that may
+   * have run is within the time in which upstreams drop a repeat.
+   *
+   * @param nowNanos the time, on the balancer's clock
+   */
+  boolean isRepeatHarmless(long nowNanos) {
+    RequestClass requestClass = request.requestClass();
+    if (requestClass.effect() == RequestEffect.IDEMPOTENT) {
+      return true;
+    }
+    boolean hasKey = requestClass.effect() == RequestEffect.IDEMPOTENT_WITH_KEY;
+    long windowNanos = requestClass.deduplicationWindowNanos();
+    return attempts.stream()
+        .filter(UpstreamAttempt::mayHaveRun)
+        .allMatch(attempt -> hasKey && nowNanos - attempt.forwardedAtNanos() < windowNanos);
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
@@ -121,7 +121,7 @@
     connection = target;
     isForwarded = true;
     forwardedAtNanos = clock.nowNanos();
-    long timeLeftNanos = plan.timeoutNanos() - timeToFirstByteNanos();
+    long timeLeftNanos = plan.timeoutNanos() - sendDelayNanos();
     long timeLeftMillis =
         Math.max(MIN_TIME_LEFT_MILLIS, TimeUnit.NANOSECONDS.toMillis(timeLeftNanos));
     target.send(this, UpstreamRequestFactory.create(plan.request(), timeLeftMillis));
@@ -147,6 +147,11 @@
     return status == null;
   }
 
+  /** How the attempt ended; null while it is in flight. */
+  public AttemptStatus status() {
+    return status;
+  }
+
   /** Whether the upstream may have run the request, or may still run it. */
   public boolean mayHaveRun() {
     return isForwarded && (status == null || !status.provesNotRun());
@@ -166,7 +171,7 @@
   }
 
   /** The time from the decision to the first byte; 0 while nothing was forwarded. */
-  public long timeToFirstByteNanos() {
+  public long sendDelayNanos() {
     return isForwarded ? forwardedAtNanos - plan.decidedAtNanos() : 0;
   }
 
--- a/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
@@ -202,9 +202,9 @@
   /** Guards clients in a hurry: they wait for less than the margin that others have to spare. */
   @Test
   void marginBeforeTheClientsTimeIsUpLeavesMostOfAShortWait() {
-    assertEquals(60_000_000L, RequestCoordinator.answerMargin(1_000_000_000L));
+    assertEquals(60_000_000L, ResponseDeadlines.marginNanos(1_000_000_000L));
     for (long left = 10_000_000L; left <= 120_000_000L; left += 10_000_000L) {
-      assertTrue(RequestCoordinator.answerMargin(left) <= left / 4, "of " + left + " ns");
+      assertTrue(ResponseDeadlines.marginNanos(left) <= left / 4, "of " + left + " ns");
     }
   }
 
