--- a/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
@@ -35,14 +35,17 @@
     this.deadlineNanos = deadlineNanos;
   }
 
+  /** The request's identifier. */
   String id() {
     return request.requestId();
   }
 
+  /** What the client sent. */
   ClientRequest request() {
     return request;
   }
 
+  /** Who waits for the response. */
   DownstreamClient client() {
     return client;
   }
--- a/src/main/java/loadbalancer/proxy/coordinator/OpenRequestTable.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/OpenRequestTable.java
@@ -1,6 +1,7 @@
 package loadbalancer.proxy.coordinator;
 
 import io.netty.channel.EventLoop;
+import io.netty.util.concurrent.ScheduledFuture;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -49,8 +50,7 @@
     return true;
   }
 
-  private io.netty.util.concurrent.ScheduledFuture<?> startDeadlineTimer(
-      OpenRequest request, long delayNanos) {
+  private ScheduledFuture<?> startDeadlineTimer(OpenRequest request, long delayNanos) {
     return eventLoop.schedule(
         () -> deadlineListener.accept(request), delayNanos, TimeUnit.NANOSECONDS);
   }
@@ -79,6 +79,7 @@
     return List.copyOf(requests.values());
   }
 
+  /** The number of open requests. */
   int size() {
     return requests.size();
   }
--- a/src/main/java/loadbalancer/proxy/upstream/EndpointConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/EndpointConnectionPool.java
@@ -24,11 +24,18 @@
   /** When anything last came from the upstream, by {@link System#nanoTime}. */
   private long lastReceivedNanos = System.nanoTime();
 
+  /**
+   * Makes an empty pool.
+   *
+   * @param allPools opens connections within the common limit
+   * @param address the upstream's address
+   */
   EndpointConnectionPool(UpstreamConnectionPools allPools, InetSocketAddress address) {
     this.allPools = allPools;
     this.address = address;
   }
 
+  /** The upstream's address. */
   InetSocketAddress address() {
     return address;
   }
@@ -76,6 +83,7 @@
     return System.nanoTime() - lastReceivedNanos < nanos;
   }
 
+  /** Closes the idle connections; the pool stays open. */
   void closeIdle() {
     List<UpstreamConnection> closing = List.copyOf(idleConnections);
     idleConnections.clear();
--- a/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
+++ b/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
@@ -34,6 +34,7 @@
     return endpoints.get(endpointId);
   }
 
+  /** The number of endpoints, removed ones with attempts in flight included. */
   int size() {
     return endpoints.size();
   }
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseDecoder.java
@@ -27,6 +27,7 @@
    */
   private boolean isPastStatusLine;
 
+  /** Makes a decoder; its filter is to be set before the first read. */
   ResponseDecoder() {
     super(new HttpDecoderConfig().setStrictLineParsing(true));
   }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -44,6 +44,13 @@
 
   private long idleSinceNanos;
 
+  /**
+   * Makes the last handler of a connection that is coming up.
+   *
+   * @param pool the pool that the connection belongs to
+   * @param channel the connection's socket
+   * @param decoder the connection's decoder
+   */
   UpstreamConnection(
       EndpointConnectionPool pool, PeekableSocketChannel channel, ResponseDecoder decoder) {
     this.pool = pool;
@@ -75,6 +82,7 @@
     return idleSinceNanos;
   }
 
+  /** Whether this connection became idle before the other one did. */
   boolean isIdleLongerThan(UpstreamConnection other) {
     return idleSinceNanos - other.idleSinceNanos < 0;
   }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPools.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPools.java
@@ -105,6 +105,7 @@
     return Optional.of(connecting);
   }
 
+  /** Removes a pool that has been closed. */
   void remove(EndpointConnectionPool pool) {
     pools.remove(pool);
   }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
@@ -14,6 +14,12 @@
   private EndpointConnectionPool pool;
   private int attemptsInFlight;
 
+  /**
+   * Makes an endpoint without attempts in flight.
+   *
+   * @param descriptor the endpoint as the list describes it
+   * @param pool the connections to the endpoint's address
+   */
   UpstreamEndpoint(EndpointDescriptor descriptor, EndpointConnectionPool pool) {
     this.descriptor = descriptor;
     this.status = descriptor.status();
@@ -40,10 +46,12 @@
     return status == EndpointStatus.REMOVED;
   }
 
+  /** Whether any attempt to the endpoint has not completed. */
   boolean hasAttemptsInFlight() {
     return attemptsInFlight > 0;
   }
 
+  /** Records what the list says of the endpoint now. */
   void describe(EndpointDescriptor latest) {
     descriptor = latest;
     status = latest.status();
@@ -55,15 +63,18 @@
     pool.close();
   }
 
+  /** Closes the present pool and uses another one, for another address. */
   void replacePool(EndpointConnectionPool next) {
     pool.close();
     pool = next;
   }
 
+  /** Counts an attempt as in flight. */
   void attemptStarted() {
     attemptsInFlight++;
   }
 
+  /** Counts an attempt as no longer in flight. */
   void attemptCompleted() {
     attemptsInFlight--;
   }
