--- a/src/test/java/loadbalancer/proxy/AttemptOutcomeTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptOutcomeTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.Locale;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -10,112 +11,119 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What an upstream does and what the client is told. With one attempt and a keyed class, 429 shows
- * an outcome that proves that nothing ran, 502 one that may have run, 200 a whole answer.
+ * What an upstream does and which response the client gets. With one attempt of a class with
+ * idempotency keys, 429 shows an outcome that proves that the request never ran, 502 one that may
+ * have run, 200 a complete response.
  */
 class AttemptOutcomeTest {
 
-  private static final int REFUSED = 429;
-  private static final int FAILED = 502;
+  private static final int REJECTED_STATUS = 429;
+  private static final int FAILED_STATUS = 502;
 
-  private static Arguments row(String name, int status, FakeHttpServer.RequestHandler behaviour) {
-    return Arguments.of(name, status, behaviour);
+  private static Arguments row(
+      String name, int status, FakeHttpServer.RequestHandler upstreamHandler) {
+    return Arguments.of(name, status, upstreamHandler);
   }
 
-  private static FakeHttpServer.RequestHandler says(String answer) {
-    return (request, connection, out) -> FakeHttpServer.write(out, answer);
+  private static FakeHttpServer.RequestHandler writing(String text) {
+    return (request, connection, output) -> FakeHttpServer.write(output, text);
   }
 
-  private static FakeHttpServer.RequestHandler saysAndEnds(String answer) {
-    return (request, connection, out) -> {
-      FakeHttpServer.write(out, answer);
+  private static FakeHttpServer.RequestHandler writingAndClosing(String text) {
+    return (request, connection, output) -> {
+      FakeHttpServer.write(output, text);
       connection.close();
     };
   }
 
-  static Stream<Arguments> behaviours() {
+  static Stream<Arguments> upstreamHandlers() {
     return Stream.of(
-        row("whole answer", 200, says(FakeHttpServer.okResponse("fine"))),
+        row("complete response", 200, writing(FakeHttpServer.okResponse("fine"))),
         row(
-            "chunked answer",
+            "chunked response",
             200,
-            says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n")),
+            writing("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n")),
         row(
-            "after an interim answer",
+            "after an interim response",
             200,
-            says("HTTP/1.1 100 Continue\r\n\r\n" + FakeHttpServer.okResponse("fine"))),
+            writing("HTTP/1.1 100 Continue\r\n\r\n" + FakeHttpServer.okResponse("fine"))),
         row(
-            "no reason given",
+            "no reason phrase",
             200,
-            says("HTTP/1.1 103 \r\n\r\n" + FakeHttpServer.okResponse("fine").replace(" OK", " "))),
-        row("error", FAILED, says("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")),
+            writing(
+                "HTTP/1.1 103 \r\n\r\n" + FakeHttpServer.okResponse("fine").replace(" OK", " "))),
+        row("error", FAILED_STATUS, writing("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")),
         row(
-            "turned away",
-            REFUSED,
-            says("HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
+            "rejected unprocessed",
+            REJECTED_STATUS,
+            writing("HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
         row(
-            "over already",
-            REFUSED,
-            says("HTTP/1.1 504 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
-        row("bare 503", FAILED, says("HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n")),
+            "timed out unprocessed",
+            REJECTED_STATUS,
+            writing("HTTP/1.1 504 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
+        row("bare 503", FAILED_STATUS, writing("HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n")),
         row(
-            "mark on an error",
-            FAILED,
-            says("HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
-        row("ended with no answer", FAILED, saysAndEnds("")),
+            "mark of an unprocessed request on an error",
+            FAILED_STATUS,
+            writing("HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
+        row("closed without a response", FAILED_STATUS, writingAndClosing("")),
         row(
             "reset",
-            FAILED,
-            (request, connection, out) -> {
+            FAILED_STATUS,
+            (request, connection, output) -> {
               connection.setSoLinger(true, 0);
               connection.close();
             }),
-        row("cut short", FAILED, saysAndEnds("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine")),
         row(
-            "cut short in chunks",
-            FAILED,
-            saysAndEnds("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n")),
-        row("no length", FAILED, saysAndEnds("HTTP/1.1 200 OK\r\n\r\nfine")),
-        row("malformed", FAILED, says("nonsense\r\n\r\n")),
-        row("too large", FAILED, says(FakeHttpServer.okResponse("x".repeat(70_000)))));
+            "truncated",
+            FAILED_STATUS,
+            writingAndClosing("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine")),
+        row(
+            "truncated in chunks",
+            FAILED_STATUS,
+            writingAndClosing(
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n")),
+        row("no length", FAILED_STATUS, writingAndClosing("HTTP/1.1 200 OK\r\n\r\nfine")),
+        row("malformed", FAILED_STATUS, writing("nonsense\r\n\r\n")),
+        row("too large", FAILED_STATUS, writing(FakeHttpServer.okResponse("x".repeat(70_000)))));
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("behaviours")
-  void clientIsToldTheTruth(String name, int status, FakeHttpServer.RequestHandler behaviour)
-      throws Exception {
-    try (FakeHttpServer upstream = new FakeHttpServer(behaviour)) {
-      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(node.address)) {
-        TestClient.Response reply = client.exchange(TestClient.keyedRequest("1", 15_000));
-        assertEquals(status, reply.status());
-        assertEquals(status == 200 ? "fine" : "", reply.body());
-        assertEquals(status == REFUSED, reply.head().contains("retry-after: "));
-        assertEquals(1, upstream.requests.size(), "sent once");
+  @MethodSource("upstreamHandlers")
+  void responseTellsWhetherTheRequestMayHaveRun(
+      String name, int status, FakeHttpServer.RequestHandler upstreamHandler) throws Exception {
+    try (FakeHttpServer upstream = new FakeHttpServer(upstreamHandler)) {
+      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+      try (TestClient client = new TestClient(proxy.address)) {
+        TestClient.Response response = client.exchange(TestClient.keyedRequest("1", 15_000));
+        assertEquals(status, response.status());
+        assertEquals(status == 200 ? "fine" : "", response.body());
+        assertEquals(status == REJECTED_STATUS, response.head().contains("retry-after: "));
+        assertEquals(1, upstream.requests.size(), "forwarded once");
       }
     }
   }
 
   @Test
-  void upstreamThatIsNotThereIsARefusal() throws Exception {
+  void requestIsRejectedIfTheUpstreamRefusesConnections() throws Exception {
     FakeHttpServer upstream = FakeHttpServer.respondingWith("fine");
     upstream.close();
-    TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-    try (TestClient client = new TestClient(node.address)) {
-      assertEquals(REFUSED, client.exchange(TestClient.keyedRequest("1", 15_000)).status());
+    TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+    try (TestClient client = new TestClient(proxy.address)) {
+      assertEquals(REJECTED_STATUS, client.exchange(TestClient.keyedRequest("1", 15_000)).status());
     }
   }
 
   @Test
-  void silentUpstreamIsAFailureAndItsConnectionsAreNotUsedAgain() throws Exception {
+  void requestFailsIfTheUpstreamIsUnresponsiveAndItsConnectionsAreNotReused() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(node.address)) {
+      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+      try (TestClient client = new TestClient(proxy.address)) {
         assertEquals(200, client.exchange(TestClient.keyedRequest("1", 15_000)).status());
-        upstream.requestHandler = (request, connection, out) -> {};
-        assertEquals(FAILED, client.exchange(TestClient.keyedRequest("2", 1_000)).status());
+        upstream.requestHandler = (request, connection, output) -> {};
+        assertEquals(FAILED_STATUS, client.exchange(TestClient.keyedRequest("2", 1_000)).status());
         TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
-        upstream.requestHandler = says(FakeHttpServer.okResponse("fine"));
+        upstream.requestHandler = writing(FakeHttpServer.okResponse("fine"));
         assertEquals(200, client.exchange(TestClient.keyedRequest("3", 15_000)).status());
         assertEquals(2, upstream.connections.size());
       }
@@ -123,14 +131,14 @@
   }
 
   @Test
-  void requestGoesOnUnchangedAndItsConnectionIsUsedAgain() throws Exception {
+  void requestIsForwardedUnchangedAndItsConnectionIsReused() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(node.address)) {
+      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+      try (TestClient client = new TestClient(proxy.address)) {
         client.exchange(TestClient.keyedRequest("1", 15_000));
         client.exchange(TestClient.idempotentRequest("2", 15_000, ""));
       }
-      String first = upstream.requests.get(0).toLowerCase();
+      String first = upstream.requests.get(0).toLowerCase(Locale.ROOT);
       assertTrue(first.startsWith("post /order http/1.1\n"), first);
       assertTrue(
           first.contains("x-correlation-id: 1\n") && first.contains("idempotency-key: once-1\n"),
@@ -144,30 +152,30 @@
   }
 
   @Test
-  void connectionThatThePeerClosedIsNotWrittenTo() throws Exception {
+  void connectionThatTheUpstreamClosedIsNotReused() throws Exception {
     try (FakeHttpServer upstream =
         new FakeHttpServer(
-            (request, connection, out) -> {
-              FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
+            (request, connection, output) -> {
+              FakeHttpServer.write(output, FakeHttpServer.okResponse("fine"));
               connection.shutdownOutput();
             })) {
-      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(node.address)) {
+      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+      try (TestClient client = new TestClient(proxy.address)) {
         for (int i = 1; i <= 3; i++) {
-          int calls = i;
+          int expectedConnections = i;
           assertEquals(200, client.exchange(TestClient.keyedRequest("o" + i, 15_000)).status());
-          TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == calls);
-          assertEquals(calls, upstream.connections.size());
+          TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == expectedConnections);
+          assertEquals(expectedConnections, upstream.connections.size());
         }
       }
     }
   }
 
   @Test
-  void clientThatLeavesEndsItsAttempt() throws Exception {
-    try (FakeHttpServer upstream = new FakeHttpServer((request, connection, out) -> {})) {
-      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(node.address)) {
+  void attemptIsCancelledIfItsClientDisconnects() throws Exception {
+    try (FakeHttpServer upstream = new FakeHttpServer((request, connection, output) -> {})) {
+      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+      try (TestClient client = new TestClient(proxy.address)) {
         client.send(TestClient.keyedRequest("1", 15_000));
         TestProxy.waitUntil(() -> upstream.requests.size() == 1);
       }
--- a/src/test/java/loadbalancer/proxy/MalformedResponseTest.java
+++ b/src/test/java/loadbalancer/proxy/MalformedResponseTest.java
@@ -10,33 +10,32 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Upstreams that answer what can't be used, or more than was asked for. */
+/** Upstreams whose responses are malformed, or that send bytes that belong to no response. */
 class MalformedResponseTest {
 
-  private static final int FAILED = 502;
+  private static final int FAILED_STATUS = 502;
 
-  private static FakeHttpServer.RequestHandler says(String answer) {
-    return (request, connection, out) -> FakeHttpServer.write(out, answer);
+  private static FakeHttpServer.RequestHandler writing(String text) {
+    return (request, connection, output) -> FakeHttpServer.write(output, text);
   }
 
-  private static Arguments row(String name, String answer) {
-    return Arguments.of(name, answer);
+  private static Arguments row(String name, String text) {
+    return Arguments.of(name, text);
   }
 
-  /**
-   * All leave the connection open and silent: only a close on the balancer's side shows that they
-   * were seen.
-   */
-  static Stream<Arguments> spoilt() {
+  /** All leave the connection open and silent, so that only the proxy can close it. */
+  static Stream<Arguments> malformedResponses() {
     return Stream.of(
-        row("noise without a line's end", "\u0001\u0002noise"),
-        row("3 GB announced", "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nfine"),
-        row("two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nfine"),
+        row("bytes that are not HTTP, without a line's end", "\u0001\u0002noise"),
+        row("3 GB of Content-Length", "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nfine"),
         row(
-            "two lengths in 1.0",
+            "two equal Content-Length headers",
+            "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nfine"),
+        row(
+            "two Content-Length headers in HTTP/1.0",
             "HTTP/1.0 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nfine"),
         row(
-            "length and chunks",
+            "Content-Length and chunked coding",
             "HTTP/1.1 200 OK\r\n"
                 + "Content-Length: 4\r\n"
                 + "Transfer-Encoding: chunked\r\n\r\n"
@@ -44,79 +43,82 @@
                 + "fine\r\n"
                 + "0\r\n\r\n"),
         row(
-            "a line without a colon",
+            "header line without a colon",
             "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nfine"),
-        row("a blank ahead of a colon", "HTTP/1.1 200 OK\r\nContent-Length : 4\r\n\r\nfine"),
+        row("space ahead of a colon", "HTTP/1.1 200 OK\r\nContent-Length : 4\r\n\r\nfine"),
         row(
-            "another coding",
+            "another transfer coding",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"),
-        row("lines ended by LF alone", "HTTP/1.1 200 OK\nContent-Length: 4\n\nfine"),
-        row("neither length nor chunks", "HTTP/1.1 200 OK\r\n\r\nfine"),
-        row("another protocol", "HTTP/1.1 101 S\r\nUpgrade: x\r\n\r\nfine"),
-        row("interim answers without end", "HTTP/1.1 102 P\r\n\r\n".repeat(50)),
-        row("a head without end", "HTTP/1.1 200 OK\r\n" + "X: y\r\n".repeat(3_000)),
-        row("a head that stalls", "HTTP/1.1 200 OK\r\nContent-Le"),
-        row("a body that stalls", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine"));
+        row("lines that end in LF alone", "HTTP/1.1 200 OK\nContent-Length: 4\n\nfine"),
+        row("neither Content-Length nor chunked coding", "HTTP/1.1 200 OK\r\n\r\nfine"),
+        row("switch to another protocol", "HTTP/1.1 101 S\r\nUpgrade: x\r\n\r\nfine"),
+        row("interim responses without end", "HTTP/1.1 102 P\r\n\r\n".repeat(50)),
+        row("head without end", "HTTP/1.1 200 OK\r\n" + "X: y\r\n".repeat(3_000)),
+        row("head that stalls", "HTTP/1.1 200 OK\r\nContent-Le"),
+        row("body that stalls", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine"));
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("spoilt")
-  void spoiltAnswerIsAFailureAtOnceAndItsConnectionIsClosed(String name, String answer)
+  @MethodSource("malformedResponses")
+  void malformedResponseFailsTheRequestAtOnceAndItsConnectionIsClosed(String name, String response)
       throws Exception {
-    try (FakeHttpServer upstream = new FakeHttpServer(says(answer))) {
-      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(node.address)) {
-        long start = System.nanoTime();
-        assertEquals(FAILED, client.exchange(TestClient.keyedRequest("1", 20_000)).status());
+    try (FakeHttpServer upstream = new FakeHttpServer(writing(response))) {
+      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+      try (TestClient client = new TestClient(proxy.address)) {
+        long startNanos = System.nanoTime();
+        assertEquals(FAILED_STATUS, client.exchange(TestClient.keyedRequest("1", 20_000)).status());
         assertTrue(
-            System.nanoTime() - start < 15_000_000_000L, "long before the request's time is up");
+            System.nanoTime() - startNanos < 15_000_000_000L,
+            "long before the request's time is up");
         TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
       }
     }
   }
 
-  static Stream<Arguments> surplus() {
+  static Stream<Arguments> unexpectedBytes() {
     return Stream.of(
-        row("a second copy", FakeHttpServer.okResponse("mine")),
-        row("half a line", "HTT"),
-        row("noise", "\u0000\u0001\u0002"));
+        row("second response", FakeHttpServer.okResponse("mine")),
+        row("half a status line", "HTT"),
+        row("bytes that are not HTTP", "\u0000\u0001\u0002"));
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("surplus")
-  void whatComesBehindAnAnswerIsNeverTheNextOnes(String name, String behind) throws Exception {
+  @MethodSource("unexpectedBytes")
+  void bytesBehindAResponseAreNotTakenForTheNextOne(String name, String unexpectedBytes)
+      throws Exception {
     try (FakeHttpServer upstream =
         new FakeHttpServer(
-            (request, connection, out) -> {
+            (request, connection, output) -> {
               String body = request.contains("X-Correlation-Id: 1\n") ? "mine" : "next";
               FakeHttpServer.write(
-                  out, FakeHttpServer.okResponse(body) + (body.equals("mine") ? behind : ""));
+                  output,
+                  FakeHttpServer.okResponse(body) + (body.equals("mine") ? unexpectedBytes : ""));
             })) {
-      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient first = new TestClient(node.address);
-          TestClient second = new TestClient(node.address)) {
+      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+      try (TestClient first = new TestClient(proxy.address);
+          TestClient second = new TestClient(proxy.address)) {
         assertEquals("mine", first.exchange(TestClient.keyedRequest("1", 15_000)).body());
         assertEquals("next", second.exchange(TestClient.keyedRequest("2", 15_000)).body());
-        assertEquals(2, upstream.connections.size(), "the first connection is of no further use");
+        assertEquals(2, upstream.connections.size(), "the first connection is not reused");
         TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
       }
     }
   }
 
   @Test
-  void whatComesOnAnIdleConnectionClosesIt() throws Exception {
-    CountDownLatch answered = new CountDownLatch(1);
+  void bytesOnAnIdleConnectionCloseIt() throws Exception {
+    CountDownLatch responseReceived = new CountDownLatch(1);
     try (FakeHttpServer upstream =
         new FakeHttpServer(
-            (request, connection, out) -> {
-              FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
-              answered.await();
-              FakeHttpServer.write(out, "H");
+            (request, connection, output) -> {
+              FakeHttpServer.write(output, FakeHttpServer.okResponse("fine"));
+              responseReceived.await();
+              FakeHttpServer.write(output, "H");
             })) {
-      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(node.address)) {
+      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+      try (TestClient client = new TestClient(proxy.address)) {
         assertEquals("fine", client.exchange(TestClient.keyedRequest("1", 15_000)).body());
-        answered.countDown();
+        responseReceived.countDown();
         TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
         assertEquals("fine", client.exchange(TestClient.keyedRequest("2", 15_000)).body());
       }
@@ -124,23 +126,23 @@
   }
 
   @Test
-  void interimAnswersAndAnUnreadableReportSpoilNothing() throws Exception {
+  void interimResponsesAndAMalformedLoadReportAreIgnored() throws Exception {
     try (FakeHttpServer upstream =
         new FakeHttpServer(
-            (request, connection, out) -> {
-              FakeHttpServer.write(out, "HTTP/1.1 103 E\r\nLink: x\r\n\r\n");
-              // Longer than an answer may take from its first byte to its last: an interim one is
-              // not its first byte.
+            (request, connection, output) -> {
+              FakeHttpServer.write(output, "HTTP/1.1 103 E\r\nLink: x\r\n\r\n");
+              // Longer than a response may take from its first byte to its last: interim responses
+              // do not count as a first byte.
               Thread.sleep(600);
               FakeHttpServer.write(
-                  out,
+                  output,
                   "HTTP/1.1 200 OK\r\n"
                       + "X-Backend-Load: inflight==;7,,\r\n"
                       + "Content-Length: 4\r\n\r\n"
                       + "fine");
             })) {
-      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(node.address)) {
+      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+      try (TestClient client = new TestClient(proxy.address)) {
         assertEquals("fine", client.exchange(TestClient.keyedRequest("1", 15_000)).body());
       }
     }
