--- a/src/main/java/loadbalancer/proxy/coordinator/AttemptForwarder.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/AttemptForwarder.java
@@ -55,7 +55,7 @@
             (completed, status, response) ->
                 completionHandler.attemptCompleted(request, endpoint, completed, response));
     tables.endpoints().attemptStarted(endpoint);
-    request.attempts().add(attempt);
+    request.addAttempt(attempt);
     attempt.start(environment.eventLoop());
   }
 
--- a/src/main/java/loadbalancer/proxy/coordinator/EndpointListHandler.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/EndpointListHandler.java
@@ -1,7 +1,6 @@
 package loadbalancer.proxy.coordinator;
 
 import java.util.List;
-import java.util.function.Consumer;
 import loadbalancer.config.EndpointList;
 import loadbalancer.policy.action.WatchEndpoints;
 import loadbalancer.policy.event.EndpointDescriptor;
@@ -16,7 +15,7 @@
 
   private final EndpointTable endpoints;
   private final PolicyEventQueue policyEvents;
-  private Consumer<Boolean> watchSwitch = enabled -> {};
+  private EndpointWatch watch = isEnabled -> {};
 
   /**
    * Makes a handler whose watch has no effect until {@link #start}.
@@ -33,10 +32,10 @@
    * Starts with the list as last known.
    *
    * @param known the full list, possibly out of date
-   * @param endpointWatch starts the watch of the list if true, and ends it otherwise
+   * @param endpointWatch switches the watch of the list from now on
    */
-  void start(EndpointList known, Consumer<Boolean> endpointWatch) {
-    watchSwitch = endpointWatch;
+  void start(EndpointList known, EndpointWatch endpointWatch) {
+    watch = endpointWatch;
     endpoints.applyFullList(known.endpoints());
     notifyPolicy(EndpointListUpdate.Kind.CACHED, known);
   }
@@ -59,7 +58,7 @@
 
   /** Starts or ends the watch. */
   void switchWatch(WatchEndpoints action) {
-    watchSwitch.accept(action.enabled());
+    watch.setEnabled(action.enabled());
   }
 
   private void notifyPolicy(EndpointListUpdate.Kind kind, EndpointList list) {
--- a/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
@@ -2,6 +2,7 @@
 
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import loadbalancer.policy.settings.DeduplicationScope;
 import loadbalancer.policy.settings.RequestClass;
@@ -55,9 +56,14 @@
     return deadlineNanos;
   }
 
-  /** The attempts made so far, in forwarding order. */
+  /** The attempts made so far, in forwarding order; a view that cannot be modified. */
   List<UpstreamAttempt> attempts() {
-    return attempts;
+    return Collections.unmodifiableList(attempts);
+  }
+
+  /** Adds an attempt, whose index is the number of those before it. */
+  void addAttempt(UpstreamAttempt attempt) {
+    attempts.add(attempt);
   }
 
   /** Sets the timer that is cancelled once the request is completed. */
@@ -88,10 +94,12 @@
   /** Whether a rejection's promise would be true: that it is safe to send the request again. */
   boolean mayBeRejected() {
     RequestClass requestClass = request.requestClass();
-    return requestClass.effect() == RequestEffect.IDEMPOTENT
-        || attempts.stream().noneMatch(UpstreamAttempt::mayHaveRun)
-        || requestClass.effect() == RequestEffect.IDEMPOTENT_WITH_KEY
+    boolean isDeduplicatedEverywhere =
+        requestClass.effect() == RequestEffect.IDEMPOTENT_WITH_KEY
             && requestClass.deduplicationScope() == DeduplicationScope.ALL;
+    return requestClass.effect() == RequestEffect.IDEMPOTENT
+        || isDeduplicatedEverywhere
+        || attempts.stream().noneMatch(UpstreamAttempt::mayHaveRun);
   }
 
   /**
--- a/src/main/java/loadbalancer/proxy/coordinator/OpenRequestTable.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/OpenRequestTable.java
@@ -56,7 +56,8 @@
   }
 
   /**
-   * Starts another deadline timer for each request that has more time left than the process.
+   * Starts another deadline timer for each request whose deadline is later than allowed. It is not
+   * cancelled: firing for a completed request has no effect.
    *
    * @param latestDeadlineNanos the latest deadline allowed, on the balancer's clock
    * @param remainingNanos the time until then
--- a/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
@@ -68,9 +68,9 @@
    * Starts with the endpoint list as last known.
    *
    * @param known the full list, possibly out of date
-   * @param endpointWatch starts the watch of the list if true, and ends it otherwise
+   * @param endpointWatch switches the watch of the list from now on
    */
-  public void start(EndpointList known, Consumer<Boolean> endpointWatch) {
+  public void start(EndpointList known, EndpointWatch endpointWatch) {
     endpointLists.start(known, endpointWatch);
   }
 
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPools.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPools.java
@@ -126,7 +126,10 @@
     UpstreamConnection longestIdle = null;
     for (EndpointConnectionPool pool : pools) {
       UpstreamConnection candidate = pool.longestIdle();
-      if (longestIdle == null || candidate != null && candidate.isIdleLongerThan(longestIdle)) {
+      if (candidate == null) {
+        continue;
+      }
+      if (longestIdle == null || candidate.isIdleLongerThan(longestIdle)) {
         longestIdle = candidate;
       }
     }
