--- a/src/test/java/loadbalancer/CommandLineTest.java
+++ b/src/test/java/loadbalancer/CommandLineTest.java
@@ -20,31 +20,39 @@
     return CommandLine.runAdapter(
         args,
         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
-        new PrintStream(out),
-        new PrintStream(err));
+        new PrintStream(out, true, StandardCharsets.UTF_8),
+        new PrintStream(err, true, StandardCharsets.UTF_8));
+  }
+
+  private String standardOutput() {
+    return out.toString(StandardCharsets.UTF_8);
+  }
+
+  private String standardError() {
+    return err.toString(StandardCharsets.UTF_8);
   }
 
   @Test
-  void inputThatEndsIsStatusZero() throws IOException {
+  void endOfTheInputIsStatusZero() throws IOException {
     assertEquals(0, run("{\"clock-ns\":1,\"groups\":[]}\n", "adapter"));
-    assertEquals("{\"groups\":[]}\n", out.toString());
-    assertEquals("", err.toString());
+    assertEquals("{\"groups\":[]}\n", standardOutput());
+    assertEquals("", standardError());
   }
 
   @Test
-  void malformedInputIsOneLineAndStatusOne() throws IOException {
+  void malformedInputIsOneLineOnStandardErrorAndStatusOne() throws IOException {
     assertEquals(1, run("{\"clock-ns\":1,\"groups\":[]}\n{\"clock-ns\":\n{}\n", "adapter"));
-    assertEquals("{\"groups\":[]}\n", out.toString(), "nothing after the line before");
-    assertEquals(1, err.toString().lines().count(), err.toString());
-    assertTrue(err.toString().startsWith("line 2: not JSON"), err.toString());
+    assertEquals("{\"groups\":[]}\n", standardOutput(), "no reply to the malformed line");
+    assertEquals(1, standardError().lines().count(), standardError());
+    assertTrue(standardError().startsWith("line 2: not JSON"), standardError());
   }
 
   @Test
-  void noOrAnUnknownCommandIsAUsageTextAndStatusTwo() throws IOException {
+  void unknownCommandLineIsAUsageTextAndStatusTwo() throws IOException {
     assertEquals(2, run(""));
     assertEquals(2, run("", "proxy"));
     assertEquals(2, run("", "adapter", "more"));
-    assertEquals("", out.toString());
-    assertTrue(err.toString().startsWith("usage: "), err.toString());
+    assertEquals("", standardOutput());
+    assertTrue(standardError().startsWith("usage: "), standardError());
   }
 }
--- a/src/test/java/loadbalancer/simulator/SimulatorSessionTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorSessionTest.java
@@ -4,44 +4,36 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.io.StringWriter;
 import java.nio.charset.StandardCharsets;
 import loadbalancer.config.WireFormatException;
-import loadbalancer.policy.action.CancelAttempt;
-import loadbalancer.policy.action.CheckHealth;
-import loadbalancer.policy.action.CloseIdleConnections;
-import loadbalancer.policy.action.FailRequest;
-import loadbalancer.policy.action.FetchEndpoints;
-import loadbalancer.policy.action.ForwardAttempt;
-import loadbalancer.policy.action.LogMessage;
-import loadbalancer.policy.action.RejectRequest;
-import loadbalancer.policy.action.SendPeerMessage;
-import loadbalancer.policy.action.SetTimer;
-import loadbalancer.policy.action.WatchEndpoints;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The wire: conversations byte for byte, every action, and each kind of malformed input. */
+/** Sessions byte for byte, and each kind of malformed input. */
 class SimulatorSessionTest {
 
-  private static final String CLASS =
+  private static final String REQUEST_CLASS =
       "{\"name\":\"c\",\"aim-ns\":400000000,\"deadline-ns\":2000000000,"
           + "\"effect\":\"idempotent\",\"unknown\":[1,{}]}";
   private static final String PROVISION =
       "{\"clock-ns\":1000000000,\"groups\":[{\"balancer\":3,\"msgs\":["
           + "{\"Provision\":{\"seed\":1,\"boot-info\":{\"novel\":1.5,\"categories\":["
-          + CLASS
+          + REQUEST_CLASS
           + "],\"registry-mode\":\"on_request\"}}},"
           + "{\"Topology\":{\"kind\":\"C\",\"stamp\":1,\"entries\":[{\"hw\":\"x\",\"launched-ns\":null,\"pack\":0,"
           + "\"upstream\":7,\"region-part\":\"\",\"stage-state\":\"up\",\"capacity-hint\":1}]}}]}]}";
 
-  private static String talk(String... lines) throws IOException {
+  private static final String REQUEST_ARRIVES =
+      "{\"JobIn\":{\"rid\":\"c:a\",\"service\":\"c\",\"user-group\":0,"
+          + "\"object\":\"91f03b7c55d20a64\",\"drop-dead-ns\":2500000000,\"weight-hint-ns\":null,\"retry\":false,"
+          + "\"write\":false}}";
+
+  /** The replies to the lines. */
+  private static String repliesTo(String... lines) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     String text = String.join("\n", lines) + "\n";
     new SimulatorSession(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), out)
@@ -49,26 +41,25 @@
     return out.toString(StandardCharsets.UTF_8);
   }
 
-  private static String batch(long clock, String messages) {
-    return "{\"clock-ns\":" + clock + ",\"groups\":[{\"balancer\":3,\"msgs\":[" + messages + "]}]}";
+  private static String batch(long nowNanos, String messages) {
+    return "{\"clock-ns\":"
+        + nowNanos
+        + ",\"groups\":[{\"balancer\":3,\"msgs\":["
+        + messages
+        + "]}]}";
   }
 
   private static String reply(String actions) {
     return "{\"groups\":[{\"balancer\":3,\"actions\":[" + actions + "]}]}\n";
   }
 
-  private static final String JOB =
-      "{\"JobIn\":{\"rid\":\"c:a\",\"service\":\"c\",\"user-group\":0,"
-          + "\"object\":\"91f03b7c55d20a64\",\"drop-dead-ns\":2500000000,\"weight-hint-ns\":null,\"retry\":false,"
-          + "\"write\":false}}";
-
   @Test
-  void anEmptyBatch() throws IOException {
-    assertEquals("{\"groups\":[]}\n", talk("{\"clock-ns\":1,\"groups\":[]}"));
+  void emptyBatchHasAnEmptyReply() throws IOException {
+    assertEquals("{\"groups\":[]}\n", repliesTo("{\"clock-ns\":1,\"groups\":[]}"));
   }
 
   @Test
-  void everyEventOfALife() throws IOException {
+  void everyEventOfABalancersLifeIsDecoded() throws IOException {
     String expected =
         reply("{\"Observe\":{\"enable\":true}}")
             + reply(
@@ -82,9 +73,9 @@
             + reply("");
     assertEquals(
         expected,
-        talk(
+        repliesTo(
             PROVISION,
-            batch(1_100_000_000L, JOB),
+            batch(1_100_000_000L, REQUEST_ARRIVES),
             batch(1_110_000_000L, "{\"Fired\":{\"handle\":\"sweep\"}}"),
             batch(
                 1_112_000_000L,
@@ -101,61 +92,21 @@
             batch(1_118_000_000L, "{\"Kill\":{}}")));
   }
 
+  /** The balancer goes on: a request that it cannot place is no malformed input. */
   @Test
-  void everyAction() throws IOException {
-    StringWriter text = new StringWriter();
-    try (JsonGenerator g = new JsonFactory().createGenerator(text)) {
-      g.writeStartArray();
-      ActionEncoder.write(g, new ForwardAttempt("a", 7, 5));
-      ActionEncoder.write(g, new CancelAttempt("a", 1));
-      ActionEncoder.write(g, new RejectRequest("a", 9));
-      ActionEncoder.write(g, new FailRequest("a"));
-      ActionEncoder.write(g, new SetTimer("t", 3));
-      ActionEncoder.write(g, new WatchEndpoints(false));
-      ActionEncoder.write(g, new FetchEndpoints());
-      ActionEncoder.write(g, new CheckHealth(7));
-      ActionEncoder.write(g, new CloseIdleConnections(7));
-      ActionEncoder.write(g, new SendPeerMessage(-1, "hi 7".getBytes(StandardCharsets.UTF_8)));
-      ActionEncoder.write(g, new LogMessage("x"));
-      g.writeEndArray();
-    }
-    assertEquals(
-        "[{\"Deliver\":{\"rid\":\"a\",\"patience-ns\":5,\"upstream\":7}},"
-            + "{\"AbortAttempt\":{\"rid\":\"a\",\"go\":1}},{\"Decline\":{\"rid\":\"a\",\"not-before-for-ns\":9}},"
-            + "{\"DropRequest\":{\"rid\":\"a\"}},{\"SetTimer\":{\"handle\":\"t\",\"fire-at-ns\":3}},"
-            + "{\"Observe\":{\"enable\":false}},{\"Resolve\":{}},{\"SoundOut\":{\"upstream\":7}},"
-            + "{\"Release\":{\"upstream\":7}},{\"BroadcastTo\":{\"recipient\":-1,\"octets\":\"aGkgNw==\"}},"
-            + "{\"Emit\":{\"note-text\":\"x\"}}]",
-        text.toString());
-  }
-
-  /** Guards the instance: it refuses what it does not know and goes on. */
-  @Test
-  void aRequestOfAnUnknownClassIsRefusedAndLogged() throws IOException {
-    String out =
-        talk(
+  void requestOfAnUnknownClassIsRejectedAndLogged() throws IOException {
+    String replies =
+        repliesTo(
             PROVISION,
-            batch(1_100_000_000L, JOB.replace("\"service\":\"c\"", "\"service\":\"nope\"")));
+            batch(
+                1_100_000_000L,
+                REQUEST_ARRIVES.replace("\"service\":\"c\"", "\"service\":\"nope\"")));
     assertTrue(
-        out.contains(
+        replies.contains(
             reply(
                 "{\"Emit\":{\"note-text\":\"refused a request of unknown class nope\"}},"
                     + "{\"Decline\":{\"rid\":\"c:a\",\"not-before-for-ns\":0}}")),
-        out);
-  }
-
-  @Test
-  void anExceptionInTheModuleIsAFault() throws IOException {
-    StringWriter text = new StringWriter();
-    try (JsonGenerator g = new JsonFactory().createGenerator(text)) {
-      ActionEncoder.writeFault(g, new IllegalStateException("odd"));
-    }
-    assertTrue(
-        text.toString()
-            .startsWith(
-                "{\"Fault\":{\"note-text\":\"java.lang.IllegalStateException: odd at"
-                    + " loadbalancer.simulator.SimulatorSessionTest."),
-        text.toString());
+        replies);
   }
 
   @ParameterizedTest
@@ -178,21 +129,24 @@
             + " | rc: expected one of",
         "{\"clock-ns\":1,\"groups\":[]} {} | expected one value a line"
       })
-  void malformedInputSaysWhatAndWhere(String line, String message) {
-    WireFormatException e = assertThrows(WireFormatException.class, () -> talk(PROVISION, line));
-    assertTrue(e.getMessage().startsWith("line 2: "), e.getMessage());
-    assertTrue(e.getMessage().contains(message), e.getMessage());
+  void malformedInputIsReportedWithLineAndField(String line, String message) {
+    WireFormatException malformed =
+        assertThrows(WireFormatException.class, () -> repliesTo(PROVISION, line));
+    assertTrue(malformed.getMessage().startsWith("line 2: "), malformed.getMessage());
+    assertTrue(malformed.getMessage().contains(message), malformed.getMessage());
   }
 
   @Test
-  void senselessSettingsAreRefusedByName() {
-    WireFormatException none =
-        assertThrows(WireFormatException.class, () -> talk(PROVISION.replace(CLASS, "")));
-    assertEquals("line 1: settings: classes must not be empty", none.getMessage());
-    WireFormatException negative =
+  void invalidSettingsAreReportedByName() {
+    WireFormatException noClasses =
+        assertThrows(
+            WireFormatException.class, () -> repliesTo(PROVISION.replace(REQUEST_CLASS, "")));
+    assertEquals("line 1: settings: classes must not be empty", noClasses.getMessage());
+    WireFormatException negativeObjective =
         assertThrows(
             WireFormatException.class,
-            () -> talk(PROVISION.replace("\"aim-ns\":400000000", "\"aim-ns\":-4")));
-    assertEquals("line 1: settings: aim of class c must be above 0", negative.getMessage());
+            () -> repliesTo(PROVISION.replace("\"aim-ns\":400000000", "\"aim-ns\":-4")));
+    assertEquals(
+        "line 1: settings: aim of class c must be above 0", negativeObjective.getMessage());
   }
 }
