--- a/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -1,20 +1,18 @@
 package loadbalancer.policy;
 
+import static loadbalancer.policy.Durations.millis;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.lang.reflect.Field;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import loadbalancer.policy.ServiceRulesObserver.ObservedAttempt;
+import loadbalancer.policy.ServiceRulesObserver.ObservedRequest;
 import loadbalancer.policy.action.Action;
-import loadbalancer.policy.action.CancelAttempt;
-import loadbalancer.policy.action.FailRequest;
-import loadbalancer.policy.action.ForwardAttempt;
-import loadbalancer.policy.action.RejectRequest;
 import loadbalancer.policy.action.SetTimer;
 import loadbalancer.policy.event.AttemptCompleted;
 import loadbalancer.policy.event.AttemptStatus;
@@ -37,277 +35,253 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * Random legal events over seeds and settings; the observer knows the four rules and nothing of the
- * module.
- */
+/** Random legal events under random settings: the service's rules hold, and all state is freed. */
 class RandomEventsTest {
 
-  private static final long MS = 1_000_000L;
+  private static final int ROUNDS_OF_TRAFFIC = 3000;
+  private static final int ROUNDS_WITHOUT_TRAFFIC = 300;
+  private static final int ENDPOINTS_AT_START = 8;
+  private static final int ENDPOINTS = 12;
 
-  private record Try(long endpointId, String zone, int deduplicationCell, long at) {}
-
-  /** The observer's book on one request. */
-  private static final class Entry {
-    final RequestClass type;
-    final long deadline;
-    final List<Try> tries = new ArrayList<>();
-    final List<AttemptStatus> ends = new ArrayList<>();
-    boolean answered;
-
-    Entry(RequestClass type, long deadline) {
-      this.type = type;
-      this.deadline = deadline;
-    }
-
-    int out() {
-      return (int) ends.stream().filter(e -> e == null).count();
-    }
-  }
-
-  private final Map<String, Entry> book = new LinkedHashMap<>();
-  private final Map<Long, EndpointDescriptor> fleet = new LinkedHashMap<>();
   private final List<Long> timers = new ArrayList<>();
   private SplittableRandom random;
   private PolicySettings settings;
-  private LoadBalancingPolicy module;
-  private long now = 5_000_000 * MS;
+  private AdaptiveLoadBalancingPolicy policy;
+  private ServiceRulesObserver observer;
+  private long nowNanos = millis(5_000_000);
+  private int arrivedRequests;
 
   @ParameterizedTest
   @ValueSource(
       longs = {
         1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24
       })
-  void rulesHold(long seed) {
+  void serviceRulesHoldAndStateIsFreedWhenTrafficStops(long seed) {
     random = new SplittableRandom(seed);
-    settings = settings();
-    module = new AdaptiveLoadBalancingPolicy(settings, seed);
-    for (int i = 0; i < 8; i++) {
-      change(i);
+    settings = randomSettings();
+    policy = new AdaptiveLoadBalancingPolicy(settings, seed);
+    observer = new ServiceRulesObserver(settings);
+    for (int endpointId = 0; endpointId < ENDPOINTS_AT_START; endpointId++) {
+      changeEndpoint(endpointId);
     }
-    step(new EndpointListUpdate(EndpointListUpdate.Kind.CACHED, List.copyOf(fleet.values())));
-    int id = 0;
-    for (int round = 0; round < 3000; round++) {
-      now += random.nextLong(6) * MS;
-      fire();
-      if (random.nextInt(100) < 4) {
-        EndpointDescriptor changed = change(random.nextInt(12));
-        step(
-            random.nextBoolean()
-                ? new EndpointListUpdate(EndpointListUpdate.Kind.DELTA, List.of(changed))
-                : new EndpointListUpdate(
-                    EndpointListUpdate.Kind.FULL, List.copyOf(fleet.values())));
-      } else if (random.nextInt(100) < 1) {
-        step(new EndpointListUpdate(EndpointListUpdate.Kind.FAILED, List.of()));
-      }
-      for (int n = random.nextInt(4); n > 0; n--) {
-        RequestClass type =
-            settings.requestClasses().get(random.nextInt(settings.requestClasses().size()));
-        long deadline = now + (20 + random.nextInt(600)) * MS;
-        book.put("r" + id, new Entry(type, deadline));
-        step(
-            new RequestArrived(
-                "r" + id++,
-                type.name(),
-                random.nextBoolean() ? "t" : null,
-                random.nextInt(5) == 0 ? null : "k" + random.nextInt(30),
-                deadline,
-                0,
-                false));
-      }
-      outcomes(40);
+    handle(new EndpointListUpdate(EndpointListUpdate.Kind.CACHED, observer.endpoints()));
+
+    for (int round = 0; round < ROUNDS_OF_TRAFFIC; round++) {
+      nowNanos += millis(random.nextLong(6));
+      fireDueTimers();
+      updateEndpointList();
+      requestsArrive();
+      attemptsComplete(40);
     }
-    for (int round = 0; round < 300; round++) {
-      now += 5 * MS;
-      fire();
-      outcomes(100);
+    for (int round = 0; round < ROUNDS_WITHOUT_TRAFFIC; round++) {
+      nowNanos += millis(5);
+      fireDueTimers();
+      attemptsComplete(100);
     }
-    book.forEach((name, e) -> assertTrue(e.answered, "no final answer for " + name));
-    long idle = timers.size();
-    now += 60_000 * MS;
-    fire();
+
+    observer.checkAllAnswered();
+    checkStateIsFreed();
+  }
+
+  private void checkStateIsFreed() {
+    int idleTimers = timers.size();
+    nowNanos += millis(60_000);
+    fireDueTimers();
     assertTrue(
-        timers.size() <= 1 && idle <= 2,
+        timers.size() <= 1 && idleTimers <= 2,
         "state empties when traffic stops: " + timers.size() + " timers");
-    assertEquals(0, sizeOf("open"), "requests still kept");
-    assertEquals(0, sizeOf("held"), "requests still held");
+    assertEquals(0, sizeOf("open"), "requests still open");
+    assertEquals(0, sizeOf("held"), "requests still queued");
   }
 
-  /**
-   * The size of one of the module's private collections: what it keeps is not to be seen from
-   * outside.
-   */
-  private int sizeOf(String field) {
+  /** The size of one of the policy's private collections, which nothing else shows. */
+  private int sizeOf(String fieldName) {
     try {
-      Field f = AdaptiveLoadBalancingPolicy.class.getDeclaredField(field);
-      f.setAccessible(true);
-      Object kept = f.get(module);
-      return kept instanceof Map<?, ?> map ? map.size() : ((Collection<?>) kept).size();
+      Field field = AdaptiveLoadBalancingPolicy.class.getDeclaredField(fieldName);
+      field.setAccessible(true);
+      Object collection = field.get(policy);
+      return collection instanceof Map<?, ?> map ? map.size() : ((Collection<?>) collection).size();
     } catch (ReflectiveOperationException e) {
-      throw new AssertionError(e);
+      throw new LinkageError(e.getMessage(), e);
     }
   }
 
-  private PolicySettings settings() {
-    List<RequestClass> classes = new ArrayList<>();
+  // ---- Settings
+
+  private PolicySettings randomSettings() {
+    List<RequestClass> requestClasses = new ArrayList<>();
     for (RequestEffect effect : RequestEffect.values()) {
       for (DeduplicationScope scope : DeduplicationScope.values()) {
-        classes.add(
-            new RequestClass(
-                effect + " " + scope,
-                effect,
-                scope,
-                (50 + random.nextInt(300)) * MS,
-                (50 + random.nextInt(200)) * MS,
-                0,
-                700 * MS,
-                1 + random.nextInt(3),
-                0,
-                false));
+        requestClasses.add(randomRequestClass(effect, scope));
       }
     }
     return new PolicySettings(
         0,
         1 + random.nextInt(3),
         "z0",
-        classes,
+        requestClasses,
         List.of(new Tenant("t", 1, random.nextInt(200))),
-        new Limits(
-            random.nextBoolean(),
-            false,
-            false,
-            random.nextBoolean(),
-            true,
-            1000 * MS,
-            1 + random.nextInt(6),
-            40 + random.nextInt(1000),
-            1,
-            100 * MS,
-            5000 * MS),
+        randomLimits(),
         new ServiceRules(
-            12 * MS, random.nextBoolean() ? 10_000 * MS : 0, 0, 0.2, 5000 * MS, 3, 2000 * MS),
+            millis(12),
+            random.nextBoolean() ? millis(10_000) : 0,
+            0,
+            0.2,
+            millis(5000),
+            3,
+            millis(2000)),
         new Costs(0, 0, 0),
         random.nextBoolean(),
         WeightKind.values()[random.nextInt(4)],
         0.1,
         true,
-        MS);
+        millis(1));
+  }
+
+  private RequestClass randomRequestClass(RequestEffect effect, DeduplicationScope scope) {
+    return new RequestClass(
+        effect + " " + scope,
+        effect,
+        scope,
+        millis(50 + random.nextInt(300)),
+        millis(50 + random.nextInt(200)),
+        0,
+        millis(700),
+        1 + random.nextInt(3),
+        0,
+        false);
+  }
+
+  private Limits randomLimits() {
+    return new Limits(
+        random.nextBoolean(),
+        false,
+        false,
+        random.nextBoolean(),
+        true,
+        millis(1000),
+        1 + random.nextInt(6),
+        40 + random.nextInt(1000),
+        1,
+        millis(100),
+        millis(5000));
+  }
+
+  // ---- Events
+
+  /** Now and then a full or partial update with one changed endpoint, or a failed watch. */
+  private void updateEndpointList() {
+    if (random.nextInt(100) < 4) {
+      EndpointDescriptor changed = changeEndpoint(random.nextInt(ENDPOINTS));
+      handle(
+          random.nextBoolean()
+              ? new EndpointListUpdate(EndpointListUpdate.Kind.DELTA, List.of(changed))
+              : new EndpointListUpdate(EndpointListUpdate.Kind.FULL, observer.endpoints()));
+    } else if (random.nextInt(100) < 1) {
+      handle(new EndpointListUpdate(EndpointListUpdate.Kind.FAILED, List.of()));
+    }
   }
 
-  /** A new state for one upstream. */
-  private EndpointDescriptor change(long id) {
-    EndpointStatus state =
-        random.nextInt(3) > 0
-            ? EndpointStatus.READY
-            : random.nextBoolean() ? EndpointStatus.DRAINING : EndpointStatus.REMOVED;
-    EndpointDescriptor listed =
+  /** Lists an endpoint in a new state. */
+  private EndpointDescriptor changeEndpoint(long endpointId) {
+    EndpointDescriptor descriptor =
         new EndpointDescriptor(
-            id,
-            "z" + id % 2,
-            (int) (id / 3 * 2 + id % 2),
-            state,
-            random.nextInt(4) == 0 ? now : 0,
+            endpointId,
+            "z" + endpointId % 2,
+            (int) (endpointId / 3 * 2 + endpointId % 2),
+            randomStatus(),
+            random.nextInt(4) == 0 ? nowNanos : 0,
             1 + random.nextInt(4));
-    fleet.put(id, listed);
-    return listed;
+    observer.endpointListed(descriptor);
+    return descriptor;
+  }
+
+  private EndpointStatus randomStatus() {
+    if (random.nextInt(3) > 0) {
+      return EndpointStatus.READY;
+    }
+    return random.nextBoolean() ? EndpointStatus.DRAINING : EndpointStatus.REMOVED;
   }
 
-  private void fire() {
-    List<Long> due = timers.stream().filter(t -> t <= now).toList();
-    timers.removeIf(t -> t <= now);
-    due.forEach(t -> step(new TimerFired("sweep")));
+  private void requestsArrive() {
+    for (int remaining = random.nextInt(4); remaining > 0; remaining--) {
+      List<RequestClass> requestClasses = settings.requestClasses();
+      RequestClass requestClass = requestClasses.get(random.nextInt(requestClasses.size()));
+      long deadlineNanos = nowNanos + millis(20 + random.nextInt(600));
+      String requestId = "r" + arrivedRequests++;
+      observer.requestArrived(requestId, requestClass, deadlineNanos);
+      handle(
+          new RequestArrived(
+              requestId,
+              requestClass.name(),
+              random.nextBoolean() ? "t" : null,
+              random.nextInt(5) == 0 ? null : "k" + random.nextInt(30),
+              deadlineNanos,
+              0,
+              false));
+    }
   }
 
-  /** Ends some attempts: those past the deadline time out, others end at random. */
-  private void outcomes(int percent) {
-    for (Map.Entry<String, Entry> entry : List.copyOf(book.entrySet())) {
-      Entry e = entry.getValue();
-      for (int i = 0; i < e.tries.size(); i++) {
-        boolean late = now >= e.deadline;
-        if (e.ends.get(i) == null && (late || random.nextInt(100) < percent / 4)) {
-          AttemptStatus status =
-              e.answered && random.nextBoolean()
-                  ? AttemptStatus.CANCELLED
-                  : late
-                      ? AttemptStatus.TIMEOUT
-                      : random.nextInt(2) == 0
-                          ? AttemptStatus.SERVED
-                          : AttemptStatus.values()[random.nextInt(AttemptStatus.values().length)];
-          e.ends.set(i, status);
-          e.answered |= status == AttemptStatus.SERVED;
-          step(
-              new AttemptCompleted(
-                  entry.getKey(),
-                  i,
-                  e.tries.get(i).endpointId(),
-                  status,
-                  now - e.tries.get(i).at(),
-                  e.answered,
-                  Map.of()));
+  private void fireDueTimers() {
+    List<Long> due = timers.stream().filter(fireAtNanos -> fireAtNanos <= nowNanos).toList();
+    timers.removeIf(fireAtNanos -> fireAtNanos <= nowNanos);
+    due.forEach(fireAtNanos -> handle(new TimerFired("sweep")));
+  }
+
+  /**
+   * Completes attempts: those past the deadline time out, a quarter of the percentage at random.
+   */
+  private void attemptsComplete(int percent) {
+    for (ObservedRequest request : observer.requests()) {
+      boolean isLate = nowNanos >= request.deadlineNanos;
+      for (int i = 0; i < request.attempts.size(); i++) {
+        ObservedAttempt attempt = request.attempts.get(i);
+        if (attempt.isInFlight() && (isLate || random.nextInt(100) < percent / 4)) {
+          observer.attemptCompleted(request, attempt, randomCompletion(request, isLate));
+          handle(attemptCompleted(request, i));
         }
       }
-      if (!e.answered && random.nextInt(2000) == 0) {
-        e.answered = true;
-        step(new ClientDisconnected(entry.getKey()));
+      if (!request.isAnswered() && random.nextInt(2000) == 0) {
+        observer.clientDisconnected(request);
+        handle(new ClientDisconnected(request.requestId));
       }
-      assertTrue(
-          e.answered || now <= e.deadline + settings.serviceRules().responseSlackNanos(),
-          "late: " + entry.getKey());
+      observer.checkAnsweredInTime(nowNanos, request);
     }
-    book.values().removeIf(e -> e.answered && e.out() == 0);
+    observer.forgetFinishedRequests();
   }
 
-  private void step(Event event) {
-    List<Action> actions = new ArrayList<>();
-    module.handle(now, event, actions::add);
-    for (Action action : actions) {
-      if (action instanceof SetTimer t) {
-        timers.add(t.fireAtNanos());
-      } else if (action instanceof ForwardAttempt s) {
-        checkSend(book.get(s.requestId()), s);
-      } else if (action instanceof RejectRequest r) {
-        Entry e = book.get(r.requestId());
-        assertTrue(!e.answered, "one final answer");
-        boolean open = e.ends.stream().anyMatch(x -> x == null || !x.provesNotRun());
-        assertTrue(
-            !open
-                || e.type.effect() == RequestEffect.IDEMPOTENT
-                || e.type.effect() == RequestEffect.IDEMPOTENT_WITH_KEY
-                    && e.type.deduplicationScope() == DeduplicationScope.ALL,
-            "refusal promises too much");
-        e.answered = true;
-      } else if (action instanceof FailRequest f) {
-        assertTrue(!book.get(f.requestId()).answered, "one final answer");
-        book.get(f.requestId()).answered = true;
-      } else if (action instanceof CancelAttempt) {
-        assertTrue(settings.limits().cancellation());
-      }
+  private AttemptStatus randomCompletion(ObservedRequest request, boolean isLate) {
+    if (request.isAnswered() && random.nextBoolean()) {
+      return AttemptStatus.CANCELLED;
     }
+    if (isLate) {
+      return AttemptStatus.TIMEOUT;
+    }
+    return random.nextInt(2) == 0
+        ? AttemptStatus.SERVED
+        : AttemptStatus.values()[random.nextInt(AttemptStatus.values().length)];
+  }
+
+  private AttemptCompleted attemptCompleted(ObservedRequest request, int index) {
+    ObservedAttempt attempt = request.attempts.get(index);
+    return new AttemptCompleted(
+        request.requestId,
+        index,
+        attempt.endpoint.endpointId(),
+        attempt.status(),
+        nowNanos - attempt.forwardedNanos,
+        request.isAnswered(),
+        Map.of());
   }
 
-  private void checkSend(Entry e, ForwardAttempt s) {
-    EndpointDescriptor to = fleet.get(s.endpointId());
-    assertTrue(!e.answered, "sent after the final answer");
-    assertEquals(EndpointStatus.READY, to.status(), "sent to a draining or gone upstream");
-    assertTrue(e.tries.size() < settings.limits().maxAttempts(), "too many attempts");
-    assertTrue(e.out() == 0 || settings.limits().hedging(), "second copy");
-    assertTrue(now < e.deadline, "sent past the deadline");
-    for (int i = 0; i < e.tries.size(); i++) {
-      Try t = e.tries.get(i);
-      if (e.type.effect() != RequestEffect.IDEMPOTENT
-          && (e.ends.get(i) == null || !e.ends.get(i).provesNotRun())) {
-        assertEquals(RequestEffect.IDEMPOTENT_WITH_KEY, e.type.effect(), "unsafe sent again");
-        assertTrue(now - t.at() < e.type.deduplicationWindowNanos(), "resent past the window");
-        assertTrue(
-            e.type.deduplicationScope() == DeduplicationScope.ALL
-                || e.type.deduplicationScope() == DeduplicationScope.ZONE
-                    && t.zone().equals(to.zone())
-                || e.type.deduplicationScope() == DeduplicationScope.CELL
-                    && t.deduplicationCell() == to.deduplicationCell(),
-            "resent outside the group");
+  private void handle(Event event) {
+    List<Action> actions = new ArrayList<>();
+    policy.handle(nowNanos, event, actions::add);
+    for (Action action : actions) {
+      if (action instanceof SetTimer timer) {
+        timers.add(timer.fireAtNanos());
       }
+      observer.checkAction(nowNanos, action);
     }
-    e.tries.add(new Try(to.endpointId(), to.zone(), to.deduplicationCell(), now));
-    e.ends.add(null);
   }
 }
