--- a/src/test/java/loadbalancer/policy/EmbeddingExample.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingExample.java
@@ -1,5 +1,7 @@
 package loadbalancer.policy;
 
+import static loadbalancer.policy.Durations.millis;
+
 import java.util.ArrayList;
 import java.util.List;
 import loadbalancer.policy.action.Action;
@@ -16,14 +18,12 @@
 import loadbalancer.policy.settings.ServiceRules;
 import loadbalancer.policy.settings.WeightKind;
 
-/** How a proxy embeds the module: settings once, then events in, actions out. */
+/** How a proxy embeds a policy: settings once, then events in and actions out. */
 final class EmbeddingExample {
 
-  private static final long MS = 1_000_000L;
-
   private EmbeddingExample() {}
 
-  /** One balancer, two upstreams, one request; the actions that the proxy is asked to carry out. */
+  /** One balancer, two endpoints, one request; the actions that the proxy is to carry out. */
   static List<Action> firstRequest() {
     RequestClass page =
         new RequestClass(
@@ -31,15 +31,27 @@
             RequestEffect.IDEMPOTENT,
             DeduplicationScope.ALL,
             0,
-            200 * MS,
+            millis(200),
             0,
-            1000 * MS,
+            millis(1000),
             1,
             0,
             false);
     Limits limits =
-        new Limits(true, false, false, true, true, 1000 * MS, 3, 10_000, 1, 250 * MS, 15_000 * MS);
-    ServiceRules contract = new ServiceRules(20 * MS, 0, 1000 * MS, 0.2, 10_000 * MS, 3, 2000 * MS);
+        new Limits(
+            true,
+            false,
+            false,
+            true,
+            true,
+            millis(1000),
+            3,
+            10_000,
+            1,
+            millis(250),
+            millis(15_000));
+    ServiceRules serviceRules =
+        new ServiceRules(millis(20), 0, millis(1000), 0.2, millis(10_000), 3, millis(2000));
     PolicySettings settings =
         new PolicySettings(
             0,
@@ -48,26 +60,26 @@
             List.of(page),
             List.of(),
             limits,
-            contract,
+            serviceRules,
             new Costs(0, 0, 0),
             false,
             WeightKind.NONE,
             1,
             false,
-            MS);
+            millis(1));
 
-    LoadBalancingPolicy balancer = new AdaptiveLoadBalancingPolicy(settings, 42);
+    LoadBalancingPolicy policy = new AdaptiveLoadBalancingPolicy(settings, 42);
     List<Action> actions = new ArrayList<>();
-    long clock = 5_000 * MS;
-    EndpointDescriptor one = new EndpointDescriptor(1, "zone-a", 0, EndpointStatus.READY, 0, 1);
-    EndpointDescriptor two = new EndpointDescriptor(2, "zone-a", 0, EndpointStatus.READY, 0, 1);
-    balancer.handle(
-        clock,
-        new EndpointListUpdate(EndpointListUpdate.Kind.CACHED, List.of(one, two)),
+    long nowNanos = millis(5_000);
+    EndpointDescriptor first = new EndpointDescriptor(1, "zone-a", 0, EndpointStatus.READY, 0, 1);
+    EndpointDescriptor second = new EndpointDescriptor(2, "zone-a", 0, EndpointStatus.READY, 0, 1);
+    policy.handle(
+        nowNanos,
+        new EndpointListUpdate(EndpointListUpdate.Kind.CACHED, List.of(first, second)),
         actions::add);
-    balancer.handle(
-        clock,
-        new RequestArrived("r1", "page", null, "user-7", clock + 800 * MS, 0, false),
+    policy.handle(
+        nowNanos,
+        new RequestArrived("r1", "page", null, "user-7", nowNanos + millis(800), 0, false),
         actions::add);
     return actions;
   }
--- a/src/test/java/loadbalancer/policy/EmbeddingExampleTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingExampleTest.java
@@ -13,10 +13,10 @@
 class EmbeddingExampleTest {
 
   @Test
-  void theFirstRequestIsSentAndATimerAskedFor() {
+  void firstRequestIsForwardedAndATimerSet() {
     List<Action> actions = EmbeddingExample.firstRequest();
-    ForwardAttempt send = assertInstanceOf(ForwardAttempt.class, actions.get(0));
-    assertEquals("r1", send.requestId());
+    ForwardAttempt forward = assertInstanceOf(ForwardAttempt.class, actions.get(0));
+    assertEquals("r1", forward.requestId());
     assertInstanceOf(SetTimer.class, actions.get(1));
     assertEquals(2, actions.size());
   }
--- a/src/test/java/loadbalancer/policy/PolicyDriver.java
+++ b/src/test/java/loadbalancer/policy/PolicyDriver.java
@@ -1,5 +1,7 @@
 package loadbalancer.policy;
 
+import static loadbalancer.policy.Durations.millis;
+
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -12,216 +14,280 @@
 import loadbalancer.policy.event.AttemptStatus;
 import loadbalancer.policy.event.EndpointDescriptor;
 import loadbalancer.policy.event.EndpointListUpdate;
-import loadbalancer.policy.event.EndpointStatus;
 import loadbalancer.policy.event.Event;
 import loadbalancer.policy.event.RequestArrived;
 import loadbalancer.policy.event.TimerFired;
-import loadbalancer.policy.settings.Costs;
-import loadbalancer.policy.settings.DeduplicationScope;
-import loadbalancer.policy.settings.Limits;
 import loadbalancer.policy.settings.PolicySettings;
-import loadbalancer.policy.settings.RequestClass;
-import loadbalancer.policy.settings.RequestEffect;
-import loadbalancer.policy.settings.ServiceRules;
-import loadbalancer.policy.settings.Tenant;
-import loadbalancer.policy.settings.WeightKind;
 
-/** Drives one instance by hand: a clock, its timers, and the actions of the last step. */
+/**
+ * Drives one policy by hand: gives it events on a clock of its own, fires its timers as time
+ * passes, and keeps a record of its attempts in flight and its rejections.
+ */
 final class PolicyDriver {
 
-  static final long MS = 1_000_000L;
+  /** In the place of an endpoint id: the request was not forwarded. */
+  static final long NOT_FORWARDED = -1;
+
+  private static final long SEED = 7;
+  private static final long FIRST_ENDPOINT_ID = 100;
+  private static final long STEP_NANOS = millis(5);
 
-  final LoadBalancingPolicy module;
-  final List<Long> timers = new ArrayList<>();
-  final List<Sent> outstanding = new ArrayList<>();
-  final Map<String, Integer> refusals = new HashMap<>();
-  final Map<String, Integer> attempts = new HashMap<>();
-  long now = 1_000_000_000_000L;
-  private int ids;
+  /** An attempt that has not completed. */
+  record InFlightAttempt(String requestId, int attempt, long endpointId, long forwardedNanos) {}
 
-  /** An attempt that has no outcome yet. */
-  record Sent(String requestId, int attempt, long endpointId, long at) {}
+  private final AdaptiveLoadBalancingPolicy policy;
+  private final List<Long> timers = new ArrayList<>();
+  private final List<InFlightAttempt> inFlight = new ArrayList<>();
+  private final List<String> rejected = new ArrayList<>();
+  private final Map<String, Integer> attemptsByRequest = new HashMap<>();
+  private long nowNanos = millis(1_000_000);
+  private int requests;
 
+  /** Makes a policy that has no endpoint list yet. */
   PolicyDriver(PolicySettings settings) {
-    this(settings, 7);
+    policy = new AdaptiveLoadBalancingPolicy(settings, SEED);
+  }
+
+  /** A policy of the default settings that knows so many ready endpoints, with ids from 100. */
+  static PolicyDriver withReadyEndpoints(int count) {
+    return withReadyEndpoints(TestSettings.defaults(), count);
+  }
+
+  /** A policy of these settings that knows so many ready endpoints, with ids from 100. */
+  static PolicyDriver withReadyEndpoints(PolicySettings settings, int count) {
+    EndpointDescriptor[] endpoints = new EndpointDescriptor[count];
+    for (int i = 0; i < count; i++) {
+      endpoints[i] = TestEndpoints.ready(FIRST_ENDPOINT_ID + i);
+    }
+    PolicyDriver driver = new PolicyDriver(settings);
+    driver.updateEndpoints(EndpointListUpdate.Kind.CACHED, endpoints);
+    return driver;
+  }
+
+  AdaptiveLoadBalancingPolicy policy() {
+    return policy;
   }
 
-  PolicyDriver(PolicySettings settings, long seed) {
-    module = new AdaptiveLoadBalancingPolicy(settings, seed);
+  long nowNanos() {
+    return nowNanos;
   }
 
-  static RequestClass type(String name, RequestEffect effect, DeduplicationScope scope) {
-    return new RequestClass(name, effect, scope, 2000 * MS, 400 * MS, 0, 2000 * MS, 1, 0, false);
+  List<InFlightAttempt> inFlight() {
+    return List.copyOf(inFlight);
   }
 
-  static PolicySettings settings(boolean onRequest, List<Tenant> tenants, RequestClass... classes) {
-    return new PolicySettings(
-        0,
-        1,
-        "a",
-        List.of(classes),
-        tenants,
-        new Limits(true, false, false, true, true, 1000 * MS, 4, 10_000, 1, 200 * MS, 5000 * MS),
-        new ServiceRules(
-            8 * MS, onRequest ? 10_000 * MS : 0, 250 * MS, 0.3, 8000 * MS, 3, 3000 * MS),
-        new Costs(0, 0, 0),
-        onRequest,
-        WeightKind.NONE,
-        0.2,
-        true,
-        MS);
+  /** The ids of the rejected requests, in the order of their rejections. */
+  List<String> rejected() {
+    return rejected;
   }
 
-  static PolicySettings safe() {
-    return settings(false, List.of(), type("c", RequestEffect.IDEMPOTENT, DeduplicationScope.ALL));
+  /** How many requests were rejected whose id starts like this. */
+  int rejected(String idPrefix) {
+    return (int) rejected.stream().filter(id -> id.startsWith(idPrefix)).count();
   }
 
-  static EndpointDescriptor up(long id) {
-    return new EndpointDescriptor(id, "a", 0, EndpointStatus.READY, 0, 1);
+  /** How many requests had more than one attempt. */
+  long requestsWithSeveralAttempts() {
+    return attemptsByRequest.values().stream().filter(attempts -> attempts > 1).count();
   }
 
-  List<Action> step(Event event) {
+  // ---- Events, each at the present clock reading; the actions that the policy answered with
+
+  List<Action> handle(Event event) {
     List<Action> actions = new ArrayList<>();
-    module.handle(now, event, actions::add);
+    policy.handle(nowNanos, event, actions::add);
     for (Action action : actions) {
-      if (action instanceof SetTimer t) {
-        timers.add(t.fireAtNanos());
-      } else if (action instanceof RejectRequest r) {
-        refusals.merge(r.requestId().substring(0, 1), 1, Integer::sum);
-      } else if (action instanceof ForwardAttempt s) {
-        outstanding.add(
-            new Sent(
-                s.requestId(),
-                attempts.merge(s.requestId(), 1, Integer::sum) - 1,
-                s.endpointId(),
-                now));
+      if (action instanceof SetTimer timer) {
+        timers.add(timer.fireAtNanos());
+      } else if (action instanceof RejectRequest rejection) {
+        rejected.add(rejection.requestId());
+      } else if (action instanceof ForwardAttempt forward) {
+        int attempt = attemptsByRequest.merge(forward.requestId(), 1, Integer::sum) - 1;
+        inFlight.add(
+            new InFlightAttempt(forward.requestId(), attempt, forward.endpointId(), nowNanos));
       }
     }
     return actions;
   }
 
-  List<Action> list(EndpointListUpdate.Kind kind, EndpointDescriptor... entries) {
-    return step(new EndpointListUpdate(kind, List.of(entries)));
+  List<Action> updateEndpoints(EndpointListUpdate.Kind kind, EndpointDescriptor... entries) {
+    return handle(new EndpointListUpdate(kind, List.of(entries)));
   }
 
-  PolicyDriver upstreams(int n) {
-    EndpointDescriptor[] entries = new EndpointDescriptor[n];
-    for (int i = 0; i < n; i++) {
-      entries[i] = up(100 + i);
-    }
-    list(EndpointListUpdate.Kind.CACHED, entries);
-    return this;
+  /** An id that no other request of this driver has; it starts with r. */
+  String nextRequestId() {
+    return "r" + requests++;
   }
 
-  String nextId() {
-    return "r" + ids++;
+  List<Action> requestArrives(String requestId, String key) {
+    return requestArrives(requestId, null, key, 0);
   }
 
-  List<Action> request(String id, String type, String key) {
-    return request(id, type, null, key, 0);
+  List<Action> requestArrives(String requestId, String tenant, String key, long workHintNanos) {
+    return handle(
+        new RequestArrived(
+            requestId,
+            TestSettings.REQUEST_CLASS,
+            tenant,
+            key,
+            nowNanos + TestSettings.DEADLINE_NANOS,
+            workHintNanos,
+            false));
   }
 
-  List<Action> request(String id, String type, String tenant, String key, long hint) {
-    return step(new RequestArrived(id, type, tenant, key, now + 2000 * MS, hint, false));
-  }
-
-  /** Ends the attempt of a request at an upstream. */
-  List<Action> end(String id, long upstream, AttemptStatus status, long latencyNanos) {
-    Sent sent =
-        outstanding.stream()
-            .filter(s -> s.requestId().equals(id) && s.endpointId() == upstream)
+  /** Completes the attempt that a request has in flight at an endpoint. */
+  List<Action> attemptCompletes(
+      String requestId, long endpointId, AttemptStatus status, long latencyNanos) {
+    InFlightAttempt attempt =
+        inFlight.stream()
+            .filter(a -> a.requestId().equals(requestId) && a.endpointId() == endpointId)
             .findFirst()
-            .get();
-    return end(sent, status, latencyNanos);
+            .orElseThrow();
+    return attemptCompletes(attempt, status, latencyNanos);
   }
 
-  List<Action> end(Sent sent, AttemptStatus status, long latencyNanos) {
-    outstanding.remove(sent);
-    return step(
+  List<Action> attemptCompletes(InFlightAttempt attempt, AttemptStatus status, long latencyNanos) {
+    inFlight.remove(attempt);
+    return handle(
         new AttemptCompleted(
-            sent.requestId(),
-            sent.attempt(),
-            sent.endpointId(),
+            attempt.requestId(),
+            attempt.attempt(),
+            attempt.endpointId(),
             status,
             latencyNanos,
             status == AttemptStatus.SERVED,
             Map.of()));
   }
 
-  /**
-   * The last attempt of a request found a kept connection broken; what it is sent to next serves
-   * it.
-   */
-  void endStale(String id) {
-    Sent sent = outstanding.stream().filter(s -> s.requestId().equals(id)).findFirst().get();
-    outstanding.remove(sent);
-    step(
+  /** Resets a request's attempt at once, as on a stale pooled connection; its retry is served. */
+  void attemptFindsStaleConnection(String requestId) {
+    InFlightAttempt attempt =
+        inFlight.stream().filter(a -> a.requestId().equals(requestId)).findFirst().orElseThrow();
+    inFlight.remove(attempt);
+    handle(
         new AttemptCompleted(
-            id, sent.attempt(), sent.endpointId(), AttemptStatus.RESET, MS, false, Map.of(), true));
-    for (Sent again : List.copyOf(outstanding)) {
-      end(again, AttemptStatus.SERVED, MS);
+            requestId,
+            attempt.attempt(),
+            attempt.endpointId(),
+            AttemptStatus.RESET,
+            millis(1),
+            false,
+            Map.of(),
+            true));
+    for (InFlightAttempt retry : inFlight()) {
+      attemptCompletes(retry, AttemptStatus.SERVED, millis(1));
     }
   }
 
-  /** Lets time pass with upstreams that end every attempt after the latency. */
-  void serveFor(long nanos, AttemptStatus status, long latencyNanos) {
-    serveFor(nanos, status, latencyNanos, Long.MAX_VALUE);
+  // ---- Time
+
+  /** Lets time pass, firing the timers that come due; the actions of all of them. */
+  List<Action> advance(long nanos) {
+    List<Action> actions = new ArrayList<>();
+    long endNanos = nowNanos + nanos;
+    while (true) {
+      long dueNanos = timers.stream().mapToLong(t -> t).min().orElse(Long.MAX_VALUE);
+      if (dueNanos > endNanos) {
+        break;
+      }
+      timers.remove(dueNanos);
+      nowNanos = Math.max(nowNanos, dueNanos);
+      actions.addAll(fireTimer());
+    }
+    nowNanos = endNanos;
+    return actions;
+  }
+
+  /** Fires the last timer so much before it is due, as a coarse event loop may, and no other. */
+  List<Action> fireLastTimerEarly(long earlyNanos) {
+    nowNanos = timers.stream().mapToLong(t -> t).max().orElseThrow() - earlyNanos;
+    timers.clear();
+    return fireTimer();
+  }
+
+  private List<Action> fireTimer() {
+    return handle(new TimerFired("sweep"));
+  }
+
+  // ---- Traffic
+
+  /** Lets time pass with endpoints that complete every attempt after the latency. */
+  void advanceCompletingAttempts(long nanos, AttemptStatus status, long latencyNanos) {
+    advanceCompletingAttempts(nanos, status, latencyNanos, Long.MAX_VALUE);
   }
 
   /**
-   * The same with so much of the time at most spent at the upstream, and the rest in the balancer.
+   * Lets time pass with attempts that complete after so long in flight, of which this much at most
+   * is latency of the endpoint; the rest is local delay.
    */
-  void serveFor(long nanos, AttemptStatus status, long outNanos, long latencyNanos) {
-    for (long end = now + nanos; now < end; ) {
-      pass(Math.min(5 * MS, end - now));
-      for (Sent s : List.copyOf(outstanding)) {
-        if (now - s.at() >= outNanos && outstanding.contains(s)) {
-          end(s, status, Math.min(latencyNanos, now - s.at()));
+  void advanceCompletingAttempts(
+      long nanos, AttemptStatus status, long inFlightNanos, long maxLatencyNanos) {
+    long endNanos = nowNanos + nanos;
+    while (nowNanos < endNanos) {
+      advance(Math.min(STEP_NANOS, endNanos - nowNanos));
+      for (InFlightAttempt attempt : inFlight()) {
+        long elapsedNanos = nowNanos - attempt.forwardedNanos();
+        if (elapsedNanos >= inFlightNanos && inFlight.contains(attempt)) {
+          attemptCompletes(attempt, status, Math.min(maxLatencyNanos, elapsedNanos));
         }
       }
     }
   }
 
   /**
-   * Sends one request and has it served after a latency; the upstream it went to, or -1 where it
-   * was not sent.
+   * Has one request of a key arrive and served after the latency; the endpoint that it was
+   * forwarded to, or {@link #NOT_FORWARDED}.
    */
-  long serve(String key, long latencyNanos) {
-    String id = nextId();
-    long upstream = sentTo(request(id, "c", key));
-    if (upstream >= 0) {
-      pass(latencyNanos);
-      end(id, upstream, AttemptStatus.SERVED, latencyNanos);
+  long serveRequest(String key, long latencyNanos) {
+    return serveRequest(key, 0, latencyNanos);
+  }
+
+  /** The same for a request that hints at its work. */
+  long serveRequest(String key, long workHintNanos, long latencyNanos) {
+    String requestId = nextRequestId();
+    long endpointId = forwardedTo(requestArrives(requestId, null, key, workHintNanos));
+    if (endpointId != NOT_FORWARDED) {
+      advance(latencyNanos);
+      attemptCompletes(requestId, endpointId, AttemptStatus.SERVED, latencyNanos);
     }
-    return upstream;
+    return endpointId;
   }
 
-  /** Lets time pass, firing the timers that come due; the actions of all of them. */
-  List<Action> pass(long nanos) {
-    List<Action> actions = new ArrayList<>();
-    long end = now + nanos;
-    while (true) {
-      long due = timers.stream().mapToLong(t -> t).min().orElse(Long.MAX_VALUE);
-      if (due > end) {
-        break;
-      }
-      timers.remove(due);
-      now = Math.max(now, due);
-      actions.addAll(step(new TimerFired("sweep")));
+  /**
+   * Offers requests at the rate that keeps so many in flight at this latency, all ended with the
+   * status; the fraction of them that was rejected.
+   */
+  double rejectedFraction(int offered, int concurrency, long latencyNanos, AttemptStatus status) {
+    return rejectedFraction(null, offered, concurrency, latencyNanos, status);
+  }
+
+  /** The same for a tenant's requests. */
+  double rejectedFraction(
+      String tenant, int offered, int concurrency, long latencyNanos, AttemptStatus status) {
+    int rejectedBefore = rejected("r");
+    for (int i = 0; i < offered; i++) {
+      requestArrives(nextRequestId(), tenant, "k" + i % 50, 0);
+      advanceCompletingAttempts(latencyNanos / concurrency, status, latencyNanos);
     }
-    now = end;
-    return actions;
+    return (rejected("r") - rejectedBefore) / (double) offered;
   }
 
-  static long sentTo(List<Action> actions) {
-    return actions.stream()
-        .filter(a -> a instanceof ForwardAttempt)
-        .mapToLong(a -> ((ForwardAttempt) a).endpointId())
+  // ---- Actions
+
+  /** The endpoint of the first attempt among the actions, or {@link #NOT_FORWARDED}. */
+  static long forwardedTo(List<Action> actions) {
+    return actionsOf(ForwardAttempt.class, actions).stream()
+        .mapToLong(ForwardAttempt::endpointId)
         .findFirst()
-        .orElse(-1);
+        .orElse(NOT_FORWARDED);
+  }
+
+  static boolean contains(List<Action> actions, Class<? extends Action> kind) {
+    return !actionsOf(kind, actions).isEmpty();
   }
 
-  static boolean has(List<Action> actions, Class<? extends Action> kind) {
-    return actions.stream().anyMatch(kind::isInstance);
+  /** The actions of one kind. */
+  static <T extends Action> List<T> actionsOf(Class<T> kind, List<Action> actions) {
+    return actions.stream().filter(kind::isInstance).map(kind::cast).toList();
   }
 }
--- a/src/test/java/loadbalancer/policy/SimulatedFleet.java
+++ b/src/test/java/loadbalancer/policy/SimulatedFleet.java
@@ -1,13 +1,17 @@
 package loadbalancer.policy;
 
+import static loadbalancer.policy.Durations.millis;
+import static loadbalancer.policy.Durations.seconds;
+
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import java.util.TreeMap;
 import java.util.function.DoubleUnaryOperator;
+import java.util.stream.Stream;
 import loadbalancer.policy.action.Action;
 import loadbalancer.policy.action.ForwardAttempt;
 import loadbalancer.policy.action.SetTimer;
@@ -15,303 +19,252 @@
 import loadbalancer.policy.event.AttemptStatus;
 import loadbalancer.policy.event.EndpointDescriptor;
 import loadbalancer.policy.event.EndpointListUpdate;
-import loadbalancer.policy.event.EndpointStatus;
 import loadbalancer.policy.event.Event;
 import loadbalancer.policy.event.RequestArrived;
 import loadbalancer.policy.event.TimerFired;
-import loadbalancer.policy.settings.Costs;
-import loadbalancer.policy.settings.Limits;
 import loadbalancer.policy.settings.PolicySettings;
 import loadbalancer.policy.settings.ServiceRules;
-import loadbalancer.policy.settings.WeightKind;
 
 /**
- * Many instances that share nothing but the clock, upstreams of two cores that fall to nothing, and
- * a book on the sends to the cold ones.
+ * A simulation of many balancers that share nothing but the clock and the endpoints. The same seed
+ * gives the same run. Times named in seconds count from the start of the simulation.
  */
 final class SimulatedFleet {
 
-  static final long MS = 1_000_000L;
-  static final long SECOND = 1000 * MS;
-  static final int UPSTREAMS = 12;
-  private static final int CORES = 2;
-  private static final long WORK = 50 * MS;
-
-  /** Mean requests a second that a warm upstream can do, and usually gets. */
-  static final double CAPACITY = CORES * (double) SECOND / WORK;
+  static final int ENDPOINTS = 12;
 
-  static final double USUAL = 0.6 * CAPACITY;
+  private static final String[] ZONES = {"a", "b", "c", "d"};
+  private static final int KEYS = 300;
+  private static final long START_NANOS = seconds(1000);
+  private static final long MAX_NOTIFICATION_DELAY_NANOS = millis(100);
 
-  /** A twentieth of the requests is this heavy; the rest makes the mean 1. */
-  private static final double HEAVY = 4;
+  /** A twentieth of the requests is of this work; the rest makes the mean 1. */
+  private static final double HEAVY_WORK = 4;
 
-  private static final double HEAVY_SHARE = 0.05;
+  private static final double HEAVY_FRACTION = 0.05;
+  private static final double LIGHT_WORK = (1 - HEAVY_FRACTION * HEAVY_WORK) / (1 - HEAVY_FRACTION);
 
-  private record Step(long at, long number, Runnable run) {}
+  /** Something to run at a time; what is scheduled first runs first where times are equal. */
+  private record Step(long atNanos, long sequenceNumber, Runnable action) {}
 
-  private record Sent(long at, double work) {}
+  /** One life of a balancer, from its start to its restart. */
+  private record Balancer(int index, int life, LoadBalancingPolicy policy) {}
 
-  private static final class Pending {
+  private static final class SimulatedRequest {
     final double work;
-    final long deadline;
+    final long deadlineNanos;
     int attempts;
     boolean served;
 
-    Pending(double work, long deadline) {
+    SimulatedRequest(double work, long deadlineNanos) {
       this.work = work;
-      this.deadline = deadline;
+      this.deadlineNanos = deadlineNanos;
     }
   }
 
-  /** By id: unique over the whole fleet, and over a balancer's restarts. */
-  private final Map<String, Pending> pending = new HashMap<>();
+  /** By id, which is unique over the whole fleet, and over a balancer's restarts. */
+  private final Map<String, SimulatedRequest> requests = new HashMap<>();
 
   private final PriorityQueue<Step> steps =
       new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
-  private final LoadBalancingPolicy[] balancers;
-  private final int[] lives;
-  private final long[][] free = new long[UPSTREAMS][CORES];
-  private final EndpointDescriptor[] listed = new EndpointDescriptor[UPSTREAMS];
-  private final Map<Long, List<Sent>> toCold = new TreeMap<>();
-  private final Map<Long, AttemptStatus> broken = new HashMap<>();
+          Comparator.comparingLong(Step::atNanos).thenComparingLong(Step::sequenceNumber));
+  private final Balancer[] balancers;
+  private final SimulatedEndpoint[] endpoints = new SimulatedEndpoint[ENDPOINTS];
   private final SplittableRandom random;
-  private final ServiceRules contract;
-  private final boolean priced;
-  private final long start = 1000 * SECOND;
-  private long now = start;
-  private long numbers;
-  private long ids;
-
-  /** The traffic at so many seconds, in parts of the usual. */
-  DoubleUnaryOperator traffic = t -> 1;
-
-  SimulatedFleet(int group, ServiceRules contract, boolean priced, long seed) {
-    this.contract = contract;
-    this.priced = priced;
+  private final ServiceRules serviceRules;
+  private final double crossZoneCost;
+  private DoubleUnaryOperator trafficAtSecond = second -> 1;
+  private long nowNanos = START_NANOS;
+  private long scheduledSteps;
+  private long arrivedRequests;
+
+  /** Starts the balancers, which know all endpoints, and the usual traffic. */
+  SimulatedFleet(int balancerCount, ServiceRules serviceRules, double crossZoneCost, long seed) {
+    this.serviceRules = serviceRules;
+    this.crossZoneCost = crossZoneCost;
     random = new SplittableRandom(seed);
-    balancers = new LoadBalancingPolicy[group];
-    lives = new int[group];
-    for (int i = 0; i < UPSTREAMS; i++) {
-      listed[i] =
-          new EndpointDescriptor(i, "abcd".charAt(i % 4) + "", i, EndpointStatus.READY, 0, 1);
+    for (int i = 0; i < ENDPOINTS; i++) {
+      endpoints[i] = new SimulatedEndpoint(i, zone(i), serviceRules);
     }
-    for (int i = 0; i < group; i++) {
-      begin(i);
+    balancers = new Balancer[balancerCount];
+    for (int i = 0; i < balancerCount; i++) {
+      restartBalancer(i);
     }
-    arrive();
+    requestArrives();
+  }
+
+  private static String zone(int index) {
+    return ZONES[index % ZONES.length];
   }
 
-  static ServiceRules contract(
-      double initialCapacityFraction, long warmWithin, double overloadMultiple, long fallWindow) {
-    return new ServiceRules(
-        8 * MS, 0, 250 * MS, initialCapacityFraction, warmWithin, overloadMultiple, fallWindow);
+  /** Sets the traffic at each second, as a multiple of the usual. */
+  void setTraffic(DoubleUnaryOperator newTrafficAtSecond) {
+    trafficAtSecond = newTrafficAtSecond;
   }
 
-  private void at(long when, Runnable run) {
-    steps.add(new Step(Math.max(now, when), numbers++, run));
+  void schedule(double second, Runnable action) {
+    scheduleAt(START_NANOS + (long) (second * seconds(1)), action);
   }
 
-  void at(double second, Runnable run) {
-    at(start + (long) (second * SECOND), run);
+  private void scheduleAt(long atNanos, Runnable action) {
+    steps.add(new Step(Math.max(nowNanos, atNanos), scheduledSteps++, action));
   }
 
-  void runTo(double second) {
-    long end = start + (long) (second * SECOND);
-    while (!steps.isEmpty() && steps.peek().at <= end) {
+  void runUntil(double second) {
+    long endNanos = START_NANOS + (long) (second * seconds(1));
+    while (!steps.isEmpty() && steps.peek().atNanos <= endNanos) {
       Step step = steps.poll();
-      now = step.at;
-      step.run.run();
+      nowNanos = step.atNanos;
+      step.action.run();
     }
-    now = end;
+    nowNanos = endNanos;
   }
 
-  /** A balancer starts, or starts again and has forgotten all; what it had out is lost. */
-  void begin(int me) {
-    PolicySettings base = PolicyDriver.safe();
-    lives[me]++;
-    balancers[me] =
-        new AdaptiveLoadBalancingPolicy(
-            new PolicySettings(
-                me,
-                balancers.length,
-                "abcd".charAt(me % 4) + "",
-                base.requestClasses(),
-                base.tenants(),
-                new Limits(
-                    true, false, false, true, true, 1000 * MS, 4, 10_000, 1, 200 * MS, 5000 * MS),
-                contract,
-                new Costs(priced ? 0.05 : 0, 0, 0),
-                false,
-                WeightKind.NONE,
-                0.2,
-                true,
-                MS),
-            random.nextLong());
-    step(me, new EndpointListUpdate(EndpointListUpdate.Kind.CACHED, List.of(listed)));
-    step(me, new EndpointListUpdate(EndpointListUpdate.Kind.FULL, List.of(listed)));
+  // ---- What happens to the fleet
+
+  /** Starts a balancer, or starts it again with nothing of its state; its attempts are lost. */
+  void restartBalancer(int index) {
+    PolicySettings settings =
+        new TestSettings()
+            .balancer(index, balancers.length, zone(index))
+            .serviceRules(serviceRules)
+            .crossZoneCost(crossZoneCost)
+            .build();
+    int life = balancers[index] == null ? 1 : balancers[index].life + 1;
+    balancers[index] =
+        new Balancer(index, life, new AdaptiveLoadBalancingPolicy(settings, random.nextLong()));
+    List<EndpointDescriptor> list =
+        Stream.of(endpoints).map(SimulatedEndpoint::descriptor).toList();
+    handle(balancers[index], new EndpointListUpdate(EndpointListUpdate.Kind.CACHED, list));
+    handle(balancers[index], new EndpointListUpdate(EndpointListUpdate.Kind.FULL, list));
   }
 
-  /** An upstream restarts; each balancer is told within a tenth of a second. */
-  void restart(long upstream) {
-    EndpointDescriptor up =
-        new EndpointDescriptor(
-            upstream, listed[(int) upstream].zone(), (int) upstream, EndpointStatus.READY, now, 1);
-    listed[(int) upstream] = up;
-    toCold.put(upstream, new ArrayList<>());
+  /** Restarts an endpoint; each balancer is notified within a tenth of a second. */
+  void restartEndpoint(int index) {
+    endpoints[index].restart(nowNanos);
+    EndpointListUpdate update =
+        new EndpointListUpdate(
+            EndpointListUpdate.Kind.DELTA, List.of(endpoints[index].descriptor()));
     for (int i = 0; i < balancers.length; i++) {
-      int me = i;
-      at(
-          now + random.nextLong(100 * MS),
-          () -> step(me, new EndpointListUpdate(EndpointListUpdate.Kind.DELTA, List.of(up))));
+      int balancer = i;
+      scheduleAt(
+          nowNanos + random.nextLong(MAX_NOTIFICATION_DELAY_NANOS),
+          () -> handle(balancers[balancer], update));
     }
   }
 
-  /**
-   * From now on the upstream ends every attempt like this; a time-out is silence until the
-   * deadline.
-   */
-  void breakDown(long upstream, AttemptStatus status) {
-    broken.put(upstream, status);
+  void failEndpoint(int index, AttemptStatus status) {
+    endpoints[index].endEveryAttemptWith(status);
   }
 
-  /** So many requests, spread evenly over all balancers and so long. */
-  void burst(int count, long within) {
+  /** So many requests beside the traffic, spread evenly over all balancers and so long. */
+  void burst(int count, long durationNanos) {
     for (int i = 0; i < count; i++) {
-      int me = i % balancers.length;
-      at(now + random.nextLong(within), () -> request(me));
+      int balancer = i % balancers.length;
+      scheduleAt(
+          nowNanos + random.nextLong(durationNanos), () -> requestArrivesAt(balancers[balancer]));
+    }
+  }
+
+  // ---- Results
+
+  /** The most work that a restarted endpoint got in one overload window, over its threshold. */
+  double maxOverloadRatio() {
+    return Stream.of(endpoints).mapToDouble(SimulatedEndpoint::maxOverloadRatio).max().orElse(0);
+  }
+
+  /** The work that restarted endpoints got while warming up, over the usual at their capacity. */
+  double warmUpUtilization() {
+    double work = 0;
+    double usualWork = 0;
+    for (SimulatedEndpoint endpoint : endpoints) {
+      work += endpoint.warmUpWork();
+      usualWork += endpoint.usualWarmUpWork();
     }
+    return work / usualWork;
   }
 
-  /** Some balancers, of all zones, get five times what the others get. */
-  private void arrive() {
-    double part = traffic.applyAsDouble((now - start) / (double) SECOND);
-    if (part > 0) {
-      int me = random.nextInt(balancers.length);
-      while (me % 10 != me / 10 % 10 && random.nextInt(5) > 0) {
-        me = random.nextInt(balancers.length);
+  // ---- Requests
+
+  /** One request of the traffic, if there is any; some balancers get five times what others get. */
+  private void requestArrives() {
+    double traffic = trafficAtSecond.applyAsDouble((nowNanos - START_NANOS) / (double) seconds(1));
+    if (traffic > 0) {
+      int index = random.nextInt(balancers.length);
+      while (!isPreferred(index) && random.nextInt(5) > 0) {
+        index = random.nextInt(balancers.length);
       }
-      request(me);
+      requestArrivesAt(balancers[index]);
     }
-    double gap = -Math.log(1 - random.nextDouble()) / (USUAL * UPSTREAMS * (part > 0 ? part : 1));
-    at(now + (long) (gap * SECOND), this::arrive);
+    double usualPerSecond = SimulatedEndpoint.USUAL_LOAD_PER_SECOND * ENDPOINTS;
+    double gapSeconds =
+        -Math.log(1 - random.nextDouble()) / (usualPerSecond * (traffic > 0 ? traffic : 1));
+    scheduleAt(nowNanos + (long) (gapSeconds * seconds(1)), this::requestArrives);
   }
 
-  private void request(int me) {
-    double light = (1 - HEAVY_SHARE * HEAVY) / (1 - HEAVY_SHARE);
-    double work = random.nextDouble() < HEAVY_SHARE ? HEAVY : light;
-    String id = me + "." + lives[me] + "." + ids++;
-    pending.put(id, new Pending(work, now + 2 * SECOND));
-    step(
-        me,
+  /** Whether a balancer is one of the tenth, in all zones, that most traffic goes to. */
+  private static boolean isPreferred(int index) {
+    return index % 10 == index / 10 % 10;
+  }
+
+  private void requestArrivesAt(Balancer balancer) {
+    double work = random.nextDouble() < HEAVY_FRACTION ? HEAVY_WORK : LIGHT_WORK;
+    String requestId = balancer.index + "." + balancer.life + "." + arrivedRequests++;
+    long deadlineNanos = nowNanos + TestSettings.DEADLINE_NANOS;
+    requests.put(requestId, new SimulatedRequest(work, deadlineNanos));
+    handle(
+        balancer,
         new RequestArrived(
-            id,
-            "c",
+            requestId,
+            TestSettings.REQUEST_CLASS,
             null,
-            "k" + random.nextInt(300),
-            now + 2 * SECOND,
-            (long) (work * WORK),
+            "k" + random.nextInt(KEYS),
+            deadlineNanos,
+            (long) (work * SimulatedEndpoint.MEAN_WORK_NANOS),
             false));
   }
 
-  private double warmth(long upstream, long when) {
-    long started = listed[(int) upstream].startedNanos();
-    double part = (when - started) / (double) contract.warmUpNanos();
-    return started == 0 || part >= 1 ? 1 : contract.initialCapacityFraction() * (1 - part) + part;
-  }
-
-  private void step(int me, Event event) {
+  private void handle(Balancer balancer, Event event) {
     List<Action> actions = new ArrayList<>();
-    balancers[me].handle(now, event, actions::add);
-    int life = lives[me];
+    balancer.policy.handle(nowNanos, event, actions::add);
     for (Action action : actions) {
-      if (action instanceof SetTimer t) {
-        at(t.fireAtNanos(), () -> ifAlive(me, life, new TimerFired(t.timerId())));
-      } else if (action instanceof ForwardAttempt s) {
-        send(me, s);
+      if (action instanceof SetTimer timer) {
+        scheduleAt(
+            timer.fireAtNanos(),
+            () -> handleUnlessRestarted(balancer, new TimerFired(timer.timerId())));
+      } else if (action instanceof ForwardAttempt forward) {
+        forward(balancer, forward);
       }
     }
   }
 
-  private void ifAlive(int me, int life, Event event) {
-    if (lives[me] == life) {
-      step(me, event);
+  private void handleUnlessRestarted(Balancer balancer, Event event) {
+    if (balancers[balancer.index].life == balancer.life) {
+      handle(balancer, event);
     }
   }
 
-  private void send(int me, ForwardAttempt s) {
-    int up = (int) s.endpointId();
-    Pending p = pending.get(s.requestId());
-    int attempt = p.attempts++;
-    int life = lives[me];
-    long sent = now;
-    AttemptStatus status = broken.getOrDefault(s.endpointId(), AttemptStatus.SERVED);
-    long end = status == AttemptStatus.TIMEOUT ? p.deadline : now + 2 * MS;
-    if (status == AttemptStatus.SERVED) {
-      int core = free[up][0] <= free[up][1] ? 0 : 1;
-      end = Math.max(now, free[up][core]) + (long) (p.work * WORK / warmth(up, now));
-      free[up][core] = end;
-      if (end > p.deadline) {
-        end = p.deadline;
-        status = AttemptStatus.TIMEOUT;
-      }
-    }
-    if (toCold.containsKey(s.endpointId())) {
-      toCold.get(s.endpointId()).add(new Sent(now, p.work));
-    }
-    AttemptStatus as = status;
-    at(
-        end,
+  private void forward(Balancer balancer, ForwardAttempt forward) {
+    SimulatedRequest request = requests.get(forward.requestId());
+    int attempt = request.attempts++;
+    long forwardedNanos = nowNanos;
+    SimulatedEndpoint.Completion completion =
+        endpoints[(int) forward.endpointId()].serve(nowNanos, request.work, request.deadlineNanos);
+    scheduleAt(
+        completion.atNanos(),
         () -> {
-          AttemptStatus how = p.served ? AttemptStatus.CANCELLED : as;
-          p.served |= how == AttemptStatus.SERVED;
-          ifAlive(
-              me,
-              life,
+          AttemptStatus status = request.served ? AttemptStatus.CANCELLED : completion.status();
+          request.served |= status == AttemptStatus.SERVED;
+          handleUnlessRestarted(
+              balancer,
               new AttemptCompleted(
-                  s.requestId(), attempt, s.endpointId(), how, now - sent, p.served, Map.of()));
+                  forward.requestId(),
+                  attempt,
+                  forward.endpointId(),
+                  status,
+                  nowNanos - forwardedNanos,
+                  request.served,
+                  Map.of()));
         });
   }
-
-  /** Work that an upstream of this warmth stands in one window: with more it falls. */
-  double stands(double warmth) {
-    double n =
-        contract.overloadMultiple() * CAPACITY * warmth * contract.overloadWindowNanos() / SECOND;
-    return n + 2 * Math.sqrt(n) + 2;
-  }
-
-  /** The worst window of a restarted upstream: work sent to it, in parts of what it falls from. */
-  double worst() {
-    double worst = 0;
-    for (var of : toCold.entrySet()) {
-      List<Sent> sends = of.getValue();
-      double sum = 0;
-      for (int first = 0, next = 0; first < sends.size(); first++) {
-        for (;
-            next < sends.size()
-                && sends.get(next).at < sends.get(first).at + contract.overloadWindowNanos();
-            next++) {
-          sum += sends.get(next).work;
-        }
-        worst = Math.max(worst, sum / stands(warmth(of.getKey(), sends.get(first).at)));
-        sum -= sends.get(first).work;
-      }
-    }
-    return worst;
-  }
-
-  /**
-   * Work sent to the restarted upstreams during their slow start, in parts of their warmth's part
-   * of the usual.
-   */
-  double used() {
-    double sent = 0;
-    double due = 0;
-    for (var of : toCold.entrySet()) {
-      long end = listed[of.getKey().intValue()].startedNanos() + contract.warmUpNanos();
-      sent += of.getValue().stream().filter(s -> s.at < end).mapToDouble(Sent::work).sum();
-      due += USUAL * (1 + contract.initialCapacityFraction()) / 2 * contract.warmUpNanos() / SECOND;
-    }
-    return sent / due;
-  }
 }
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/SlidingWindowTest.java
@@ -0,0 +1,40 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import loadbalancer.policy.SlidingWindow.Metric;
+import org.junit.jupiter.api.Test;
+
+/** What a window counts, and when it forgets it. */
+class SlidingWindowTest {
+
+  @Test
+  void totalsAndMeanLeaveOutWhatIsOlderThanTheWindow() {
+    SlidingWindow window = new SlidingWindow(1200, 0);
+    assertEquals(0, window.mean(0, 1), "an empty window is healthy");
+    window.add(0, Metric.ADMITTED, 1);
+    window.add(150, Metric.SAMPLES, 1);
+    window.add(150, Metric.LATENCY, 6);
+    window.add(650, Metric.SAMPLES, 1);
+    window.add(650, Metric.LATENCY, 2);
+    assertEquals(1, window.total(1199, Metric.ADMITTED));
+    assertEquals(0, window.total(1200, Metric.ADMITTED));
+    assertEquals(4, window.mean(1250, 1), 1e-9);
+    assertEquals(2, window.mean(1300, 1), 1e-9);
+    assertEquals(0, window.mean(90_000, 1), 1e-9);
+  }
+
+  /** A mean left over from an overload would reject for as long as no new samples come. */
+  @Test
+  void lookbackOfSeveralWindowsIsForgottenOverAPauseOfAnyLength() {
+    for (long pause = 1200; pause <= 20_000; pause += 100) {
+      SlidingWindow window = new SlidingWindow(1200, 5, 0);
+      for (long now = 10_000; now < 11_200; now += 100) {
+        window.add(now, Metric.SAMPLES, 1);
+        window.add(now, Metric.LATENCY, 3);
+      }
+      assertEquals(0, window.total(11_100 + pause, Metric.SAMPLES), 1e-9, "after " + pause);
+      assertEquals(0, window.total(11_100 + pause, Metric.LATENCY), 1e-9, "after " + pause);
+    }
+  }
+}
--- a/src/test/java/loadbalancer/policy/SlowStartFleetTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartFleetTest.java
@@ -1,203 +1,243 @@
 package loadbalancer.policy;
 
+import static loadbalancer.policy.Durations.millis;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.stream.IntStream;
+import java.util.stream.LongStream;
 import java.util.stream.Stream;
 import loadbalancer.policy.event.AttemptStatus;
-import loadbalancer.policy.event.EndpointDescriptor;
-import loadbalancer.policy.event.EndpointListUpdate;
-import loadbalancer.policy.event.EndpointStatus;
 import loadbalancer.policy.settings.ServiceRules;
-import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A restarted upstream falls by what all balancers send it together, and none of them knows of
- * another.
+ * Slow start over a whole fleet: a restarted endpoint is overloaded by what all balancers forward
+ * to it together, and none of them knows of another.
  */
 class SlowStartFleetTest {
 
-  private static final long MS = SimulatedFleet.MS;
-  private static final double RESTART = 20;
+  private static final double RESTART_SECOND = 20;
   private static final int SEEDS = 3;
-  private static final ServiceRules LONG = SimulatedFleet.contract(0.14, 24_000 * MS, 4, 1000 * MS);
-  private static final ServiceRules SHORT = SimulatedFleet.contract(0.14, 24_000 * MS, 3, 500 * MS);
-  private static final ServiceRules WARMER =
-      SimulatedFleet.contract(0.43, 9_000 * MS, 4, 2000 * MS);
+  private static final double CROSS_ZONE_COST = 0.05;
+  private static final ServiceRules SHORT_WINDOW =
+      serviceRules(0.14, millis(24_000), 3, millis(500));
+  private static final ServiceRules LONG_WINDOW =
+      serviceRules(0.14, millis(24_000), 4, millis(1000));
+  private static final ServiceRules FAST_WARM_UP =
+      serviceRules(0.43, millis(9_000), 4, millis(2000));
+
+  private static ServiceRules serviceRules(
+      double initialCapacityFraction,
+      long warmUpNanos,
+      double overloadMultiple,
+      long overloadWindowNanos) {
+    return new ServiceRules(
+        millis(8),
+        0,
+        millis(250),
+        initialCapacityFraction,
+        warmUpNanos,
+        overloadMultiple,
+        overloadWindowNanos);
+  }
 
-  /** One cause of crowding at a cold upstream. */
+  /** One cause of crowding at a restarted endpoint, scheduled before the simulation runs. */
   private interface Trouble {
-    void prepare(SimulatedFleet fleet, int group);
+    void schedule(SimulatedFleet fleet, Scenario scenario);
   }
 
-  private record Case(
-      String name, ServiceRules contract, int group, int cold, boolean priced, Trouble trouble) {
+  /** A fleet of which some endpoints restart, and what else happens to it. */
+  private record Scenario(
+      String name,
+      ServiceRules serviceRules,
+      int balancers,
+      int restarted,
+      double crossZoneCost,
+      Trouble trouble) {
+
+    /** A scenario with cross-zone traffic for free. */
+    static Scenario of(
+        String name, ServiceRules rules, int balancers, int restarted, Trouble trouble) {
+      return new Scenario(name, rules, balancers, restarted, 0, trouble);
+    }
+
+    Scenario preferringLocalZone() {
+      return new Scenario(name, serviceRules, balancers, restarted, CROSS_ZONE_COST, trouble);
+    }
+
     @Override
     public String toString() {
-      return name
-          + ", "
-          + group
-          + " balancers, "
-          + cold
-          + " cold, "
-          + (priced ? "zones priced, " : "")
-          + "falls in "
-          + contract.overloadWindowNanos() / MS
-          + " ms";
+      return String.format(
+          "%s, %d balancers, %d restarted,%s overload window of %d ms",
+          name,
+          balancers,
+          restarted,
+          crossZoneCost > 0 ? " local zone preferred," : "",
+          serviceRules.overloadWindowNanos() / millis(1));
     }
 
-    SimulatedFleet play(long seed) {
-      SimulatedFleet fleet = new SimulatedFleet(group, contract, priced, seed);
-      for (int i = 0; i < cold; i++) {
-        long upstream = i * 5 % SimulatedFleet.UPSTREAMS;
-        fleet.at(RESTART, () -> fleet.restart(upstream));
+    /** Runs the simulation until the restarted endpoints are warm. */
+    SimulatedFleet run(long seed) {
+      SimulatedFleet fleet = new SimulatedFleet(balancers, serviceRules, crossZoneCost, seed);
+      for (int i = 0; i < restarted; i++) {
+        int endpoint = i * 5 % SimulatedFleet.ENDPOINTS;
+        fleet.schedule(RESTART_SECOND, () -> fleet.restartEndpoint(endpoint));
       }
-      trouble.prepare(fleet, group);
-      fleet.runTo(RESTART + contract.warmUpNanos() / 1e9);
+      trouble.schedule(fleet, this);
+      fleet.runUntil(RESTART_SECOND + serviceRules.warmUpNanos() / 1e9);
       return fleet;
     }
   }
 
+  private static final Trouble NONE = (fleet, scenario) -> {};
+
+  /** Three seconds of two and a half times the usual traffic. */
   private static Trouble burstAfter(double seconds) {
-    return (fleet, group) ->
-        fleet.traffic = t -> t >= RESTART + seconds && t < RESTART + seconds + 3 ? 2.5 : 1;
+    double start = RESTART_SECOND + seconds;
+    return (fleet, scenario) ->
+        fleet.setTraffic(second -> second >= start && second < start + 3 ? 2.5 : 1);
   }
 
   /**
-   * No traffic from the restart on, then in a fifth of a second what the warm upstreams stand, but
+   * No traffic from the restart on, then in a fifth of a second what warm endpoints withstand but
    * for chance.
    */
-  private static Trouble lull(double seconds) {
-    return (fleet, group) -> {
-      fleet.traffic = t -> t >= RESTART && t < RESTART + seconds ? 0 : 1;
-      fleet.at(
-          RESTART + seconds,
-          () -> fleet.burst((int) (0.6 * fleet.stands(1)) * SimulatedFleet.UPSTREAMS, 200 * MS));
+  private static Trouble lullOf(double seconds) {
+    double end = RESTART_SECOND + seconds;
+    return (fleet, scenario) -> {
+      fleet.setTraffic(second -> second >= RESTART_SECOND && second < end ? 0 : 1);
+      double threshold = SimulatedEndpoint.overloadThreshold(scenario.serviceRules, 1);
+      int requests = ((int) (0.6 * threshold)) * SimulatedFleet.ENDPOINTS;
+      fleet.schedule(end, () -> fleet.burst(requests, millis(200)));
     };
   }
 
-  private static Trouble balancersRestart(double before, int every) {
-    return (fleet, group) -> {
-      for (int i = 0; i < group; i += every) {
-        int me = i;
-        fleet.at(RESTART + before, () -> fleet.begin(me));
+  private static Trouble balancersRestartAfter(double seconds, int everyNth) {
+    return (fleet, scenario) -> {
+      for (int i = 0; i < scenario.balancers; i += everyNth) {
+        int balancer = i;
+        fleet.schedule(RESTART_SECOND + seconds, () -> fleet.restartBalancer(balancer));
       }
     };
   }
 
-  private static Trouble broken(AttemptStatus status, int count) {
-    return (fleet, group) -> {
+  private static Trouble endpointsFailWith(AttemptStatus status, int count) {
+    return (fleet, scenario) -> {
       for (int i = 0; i < count; i++) {
-        long upstream = SimulatedFleet.UPSTREAMS - 1 - i;
-        fleet.at(RESTART + 1, () -> fleet.breakDown(upstream, status));
+        int endpoint = SimulatedFleet.ENDPOINTS - 1 - i;
+        fleet.schedule(RESTART_SECOND + 1, () -> fleet.failEndpoint(endpoint, status));
       }
     };
   }
 
-  private static final Trouble NONE = (fleet, group) -> {};
-
-  static Stream<Case> cases() {
-    List<Case> cases = new ArrayList<>();
-    for (int group : new int[] {30, 100}) {
-      cases.add(new Case("plain", SHORT, group, 1, false, NONE));
-      cases.add(new Case("plain", SHORT, group, 4, false, NONE));
-      cases.add(new Case("plain", SHORT, group, 12, false, NONE));
-      cases.add(new Case("plain", SHORT, group, 1, true, NONE));
-      for (int seconds : new int[] {0, 1, 2, 4, 8, 12}) {
-        cases.add(
-            new Case(
-                "burst after " + seconds, SHORT, group, 1, seconds % 4 == 0, burstAfter(seconds)));
-      }
-      cases.add(new Case("balancers restarted", SHORT, group, 1, false, balancersRestart(-0.2, 1)));
-      cases.add(
-          new Case("half the balancers restarted", SHORT, group, 4, false, balancersRestart(1, 2)));
-      cases.add(
-          new Case("two turn all away", SHORT, group, 1, false, broken(AttemptStatus.REJECTED, 2)));
-      cases.add(new Case("two fail", SHORT, group, 1, true, broken(AttemptStatus.RESET, 2)));
-      cases.add(new Case("panic", SHORT, group, 1, false, broken(AttemptStatus.CONNECT_FAILED, 7)));
-      cases.add(new Case("silent", SHORT, group, 1, true, broken(AttemptStatus.TIMEOUT, 7)));
-      for (ServiceRules contract : List.of(SHORT, LONG, WARMER)) {
-        cases.add(new Case("lull of 2", contract, group, 1, false, lull(2)));
-        cases.add(
-            new Case(
-                "lull of half", contract, group, 1, false, lull(contract.warmUpNanos() / 2e9)));
-        cases.add(new Case("lull of 2", contract, group, 4, true, lull(2)));
-      }
-    }
-    cases.add(new Case("plain", SHORT, 3, 1, false, NONE));
-    cases.add(new Case("burst after 1", SHORT, 3, 1, false, burstAfter(1)));
-    cases.add(new Case("lull of half", SHORT, 3, 1, false, lull(12)));
-    cases.add(new Case("lull of half", SHORT, 1000, 1, false, lull(12)));
-    cases.add(new Case("lull of 2", SHORT, 1000, 1, false, lull(2)));
-    cases.add(new Case("burst after 1", LONG, 30, 4, true, burstAfter(1)));
-    cases.add(new Case("burst after 1", WARMER, 30, 4, true, burstAfter(1)));
-    return cases.stream();
+  static Stream<Scenario> scenarios() {
+    return Stream.of(
+            IntStream.of(30, 100).boxed().flatMap(SlowStartFleetTest::scenariosOfAnySize),
+            scenariosOfOneSize())
+        .flatMap(scenarios -> scenarios);
   }
 
-  @ParameterizedTest
-  @MethodSource("cases")
-  void coldUpstreamStaysUpUnderWhatAllSendIt(Case c) {
-    double worst = 0;
-    for (long seed = 1; seed <= SEEDS; seed++) {
-      worst = Math.max(worst, c.play(seed).worst());
+  private static Stream<Scenario> scenariosOfAnySize(int balancers) {
+    List<Scenario> scenarios = new ArrayList<>();
+    for (int restarted : new int[] {1, 4, 12}) {
+      scenarios.add(Scenario.of("plain", SHORT_WINDOW, balancers, restarted, NONE));
+    }
+    scenarios.add(Scenario.of("plain", SHORT_WINDOW, balancers, 1, NONE).preferringLocalZone());
+    for (int seconds : new int[] {0, 1, 2, 4, 8, 12}) {
+      Scenario burst =
+          Scenario.of("burst after " + seconds, SHORT_WINDOW, balancers, 1, burstAfter(seconds));
+      scenarios.add(seconds % 4 == 0 ? burst.preferringLocalZone() : burst);
+    }
+    scenarios.addAll(scenariosOfFailures(balancers));
+    for (ServiceRules rules : List.of(SHORT_WINDOW, LONG_WINDOW, FAST_WARM_UP)) {
+      double halfWarmUpSeconds = rules.warmUpNanos() / 2e9;
+      scenarios.add(Scenario.of("lull of 2", rules, balancers, 1, lullOf(2)));
+      scenarios.add(
+          Scenario.of("lull of half the warm-up", rules, balancers, 1, lullOf(halfWarmUpSeconds)));
+      scenarios.add(Scenario.of("lull of 2", rules, balancers, 4, lullOf(2)).preferringLocalZone());
     }
-    assertTrue(worst <= 1, "work sent in one window, in parts of what it falls from: " + worst);
+    return scenarios.stream();
   }
 
-  static Stream<Case> plain() {
-    return Stream.of(LONG, SHORT, WARMER)
-        .flatMap(
-            c ->
-                Stream.of(3, 30, 100, 500)
-                    .map(group -> new Case("plain", c, group, 4, false, NONE)));
+  private static List<Scenario> scenariosOfFailures(int balancers) {
+    return List.of(
+        Scenario.of(
+            "balancers restart", SHORT_WINDOW, balancers, 1, balancersRestartAfter(-0.2, 1)),
+        Scenario.of(
+            "half the balancers restart", SHORT_WINDOW, balancers, 4, balancersRestartAfter(1, 2)),
+        Scenario.of(
+            "two reject all",
+            SHORT_WINDOW,
+            balancers,
+            1,
+            endpointsFailWith(AttemptStatus.REJECTED, 2)),
+        Scenario.of(
+                "two reset all",
+                SHORT_WINDOW,
+                balancers,
+                1,
+                endpointsFailWith(AttemptStatus.RESET, 2))
+            .preferringLocalZone(),
+        Scenario.of(
+            "panic threshold",
+            SHORT_WINDOW,
+            balancers,
+            1,
+            endpointsFailWith(AttemptStatus.CONNECT_FAILED, 7)),
+        Scenario.of(
+                "seven unresponsive",
+                SHORT_WINDOW,
+                balancers,
+                1,
+                endpointsFailWith(AttemptStatus.TIMEOUT, 7))
+            .preferringLocalZone());
   }
 
-  /** Guards against the opposite: a restarted upstream left idle by balancers that save nothing. */
-  @ParameterizedTest
-  @MethodSource("plain")
-  void coldUpstreamGetsItsWarmthsPartFromAllTogether(Case c) {
-    double used = 0;
-    for (long seed = 1; seed <= SEEDS; seed++) {
-      used += c.play(seed).used() / SEEDS;
-    }
-    assertTrue(used > 0.75 && used < 1.15, "part of its warmth's part: " + used);
+  private static Stream<Scenario> scenariosOfOneSize() {
+    return Stream.of(
+        Scenario.of("plain", SHORT_WINDOW, 3, 1, NONE),
+        Scenario.of("burst after 1", SHORT_WINDOW, 3, 1, burstAfter(1)),
+        Scenario.of("lull of half the warm-up", SHORT_WINDOW, 3, 1, lullOf(12)),
+        Scenario.of("lull of half the warm-up", SHORT_WINDOW, 1000, 1, lullOf(12)),
+        Scenario.of("lull of 2", SHORT_WINDOW, 1000, 1, lullOf(2)),
+        Scenario.of("burst after 1", LONG_WINDOW, 30, 4, burstAfter(1)).preferringLocalZone(),
+        Scenario.of("burst after 1", FAST_WARM_UP, 30, 4, burstAfter(1)).preferringLocalZone());
   }
 
-  /** Guards against heavy requests that count as one: a few fill what is cold. */
-  @Test
-  void aHeavyRequestTakesItsLoadOfTheColdBudget() {
-    int light = sendsToCold(20 * MS);
-    int heavy = sendsToCold(80 * MS);
+  @ParameterizedTest
+  @MethodSource("scenarios")
+  void restartedEndpointIsNotOverloadedByAllBalancersTogether(Scenario scenario) {
+    double maxRatio =
+        LongStream.rangeClosed(1, SEEDS)
+            .mapToDouble(seed -> scenario.run(seed).maxOverloadRatio())
+            .max()
+            .getAsDouble();
     assertTrue(
-        light >= 4 && heavy <= light / 2,
-        "sends to the cold one: light " + light + ", heavy " + heavy);
+        maxRatio <= 1, "work in one overload window, over the overload threshold: " + maxRatio);
   }
 
-  private static int sendsToCold(long hint) {
-    PolicyDriver d = new PolicyDriver(PolicyDriver.safe()).upstreams(9);
-    for (int i = 0; i < 2000; i++) {
-      serve(d, i, 20 * MS);
-    }
-    d.list(
-        EndpointListUpdate.Kind.DELTA,
-        new EndpointDescriptor(500, "a", 0, EndpointStatus.READY, d.now, 1));
-    int cold = 0;
-    for (int i = 0; i < 200; i++) {
-      cold += serve(d, i, hint) == 500 ? 1 : 0;
-    }
-    return cold;
+  static Stream<Scenario> plainScenarios() {
+    return Stream.of(LONG_WINDOW, SHORT_WINDOW, FAST_WARM_UP)
+        .flatMap(
+            rules ->
+                Stream.of(3, 30, 100, 500)
+                    .map(balancers -> Scenario.of("plain", rules, balancers, 4, NONE)));
   }
 
-  private static long serve(PolicyDriver d, int i, long hint) {
-    String id = d.nextId();
-    long upstream = PolicyDriver.sentTo(d.request(id, "c", null, "k" + i, hint));
-    d.pass(MS);
-    if (upstream >= 0) {
-      d.end(id, upstream, AttemptStatus.SERVED, MS);
-    }
-    return upstream;
+  /** The opposite fault: a restarted endpoint left idle by balancers that save nothing for it. */
+  @ParameterizedTest
+  @MethodSource("plainScenarios")
+  void restartedEndpointGetsTheFractionOfItsWarmUpFromAllBalancersTogether(Scenario scenario) {
+    double utilization =
+        LongStream.rangeClosed(1, SEEDS)
+            .mapToDouble(seed -> scenario.run(seed).warmUpUtilization())
+            .average()
+            .getAsDouble();
+    assertTrue(
+        utilization > 0.75 && utilization < 1.15,
+        "work over the usual at its capacity: " + utilization);
   }
 }
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/TestSettings.java
@@ -0,0 +1,124 @@
+package loadbalancer.policy;
+
+import static loadbalancer.policy.Durations.millis;
+
+import java.util.List;
+import loadbalancer.policy.settings.Costs;
+import loadbalancer.policy.settings.DeduplicationScope;
+import loadbalancer.policy.settings.Limits;
+import loadbalancer.policy.settings.PolicySettings;
+import loadbalancer.policy.settings.RequestClass;
+import loadbalancer.policy.settings.RequestEffect;
+import loadbalancer.policy.settings.ServiceRules;
+import loadbalancer.policy.settings.Tenant;
+import loadbalancer.policy.settings.WeightKind;
+
+/**
+ * Builds the settings of a test: one balancer in zone a with one class of idempotent requests
+ * (latency objective 400 ms), a pushed endpoint list and no tenants, changed where a test needs it.
+ */
+final class TestSettings {
+
+  /** The name of the only request class. */
+  static final String REQUEST_CLASS = "c";
+
+  /** How long clients wait, over all their retries. */
+  static final long DEADLINE_NANOS = millis(2000);
+
+  private static final long MAX_POLL_INTERVAL_NANOS = millis(10_000);
+
+  private int instanceIndex;
+  private int groupSize = 1;
+  private String zone = "a";
+  private RequestClass requestClass =
+      requestClass(RequestEffect.IDEMPOTENT, DeduplicationScope.ALL);
+  private List<Tenant> tenants = List.of();
+  private ServiceRules serviceRules =
+      new ServiceRules(millis(8), 0, millis(250), 0.3, millis(8000), 3, millis(3000));
+  private double crossZoneCost;
+  private boolean endpointListPolled;
+
+  /** The settings without any change. */
+  static PolicySettings defaults() {
+    return new TestSettings().build();
+  }
+
+  private static RequestClass requestClass(RequestEffect effect, DeduplicationScope scope) {
+    return new RequestClass(
+        REQUEST_CLASS, effect, scope, millis(2000), millis(400), 0, DEADLINE_NANOS, 1, 0, false);
+  }
+
+  /** Makes this the settings of one balancer of a group. */
+  TestSettings balancer(int newInstanceIndex, int newGroupSize, String newZone) {
+    instanceIndex = newInstanceIndex;
+    groupSize = newGroupSize;
+    zone = newZone;
+    return this;
+  }
+
+  TestSettings requests(RequestEffect effect, DeduplicationScope scope) {
+    requestClass = requestClass(effect, scope);
+    return this;
+  }
+
+  TestSettings tenants(Tenant... newTenants) {
+    tenants = List.of(newTenants);
+    return this;
+  }
+
+  TestSettings serviceRules(ServiceRules newServiceRules) {
+    serviceRules = newServiceRules;
+    return this;
+  }
+
+  TestSettings responseSlack(long nanos) {
+    serviceRules =
+        new ServiceRules(
+            nanos,
+            serviceRules.maxPollIntervalNanos(),
+            serviceRules.drainGraceNanos(),
+            serviceRules.initialCapacityFraction(),
+            serviceRules.warmUpNanos(),
+            serviceRules.overloadMultiple(),
+            serviceRules.overloadWindowNanos());
+    return this;
+  }
+
+  TestSettings crossZoneCost(double newCrossZoneCost) {
+    crossZoneCost = newCrossZoneCost;
+    return this;
+  }
+
+  /** Has the endpoint list come on request only. */
+  TestSettings endpointListPolled() {
+    endpointListPolled = true;
+    serviceRules =
+        new ServiceRules(
+            serviceRules.responseSlackNanos(),
+            MAX_POLL_INTERVAL_NANOS,
+            serviceRules.drainGraceNanos(),
+            serviceRules.initialCapacityFraction(),
+            serviceRules.warmUpNanos(),
+            serviceRules.overloadMultiple(),
+            serviceRules.overloadWindowNanos());
+    return this;
+  }
+
+  PolicySettings build() {
+    return new PolicySettings(
+        instanceIndex,
+        groupSize,
+        zone,
+        List.of(requestClass),
+        tenants,
+        new Limits(
+            true, false, false, true, true, millis(1000), 4, 10_000, 1, millis(200), millis(5000)),
+        serviceRules,
+        new Costs(crossZoneCost, 0, 0),
+        endpointListPolled,
+        WeightKind.NONE,
+        0.2,
+        true,
+        millis(1));
+  }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/TrafficStatisticsTest.java
@@ -0,0 +1,22 @@
+package loadbalancer.policy;
+
+import static loadbalancer.policy.Durations.millis;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import loadbalancer.policy.event.AttemptStatus;
+import org.junit.jupiter.api.Test;
+
+/** The sliding windows that a policy keeps for its keys. */
+class TrafficStatisticsTest {
+
+  @Test
+  void windowsOfKeysThatNeverComeAgainAreDropped() {
+    PolicyDriver driver = PolicyDriver.withReadyEndpoints(5);
+    for (int i = 0; i < 5_000; i++) {
+      driver.requestArrives(driver.nextRequestId(), "once-" + i);
+      driver.advanceCompletingAttempts(millis(10), AttemptStatus.SERVED, millis(5));
+    }
+    int windows = driver.policy().windowsKept();
+    assertTrue(windows < 300, "a window's length holds 100 of these keys, windows: " + windows);
+  }
+}
