--- a/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
@@ -51,22 +51,22 @@
   private boolean closing;
   private String warmUpPath;
 
-  /**
-   * At most so many connections; {@code warmUpPath} is answered as {@code /up} until this side is
-   * ready.
-   */
+  /** Makes a server that holds at most {@code most} connections. */
   public DownstreamServer(
-      EventLoop loop,
-      PolicySettings settings,
-      RequestCoordinator core,
-      int most,
-      String warmUpPath) {
+      EventLoop loop, PolicySettings settings, RequestCoordinator core, int most) {
     this.loop = loop;
     this.settings = settings;
     requestParser = new ClientRequestParser(settings);
     this.core = core;
     this.most = most;
-    this.warmUpPath = warmUpPath;
+  }
+
+  /**
+   * Responds to requests for this path with 200 until {@link #setReady}; to be called before {@link
+   * #listen}.
+   */
+  public void setWarmUpPath(String path) {
+    warmUpPath = path;
   }
 
   /** Listens; waits for the bind, so it is not to be called on the loop. */
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
@@ -78,8 +78,8 @@
             new CoordinatorEnvironment(loop, new EpochClock(), lag, pool),
             this::defect);
     clients =
-        new DownstreamServer(
-            loop, settings, core, (int) (configuration.sockets() * CLIENT_SHARE), warmUpPath);
+        new DownstreamServer(loop, settings, core, (int) (configuration.sockets() * CLIENT_SHARE));
+    clients.setWarmUpPath(warmUpPath);
     discovery =
         new DiscoveryClient(
             loop,
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
@@ -124,7 +124,7 @@
             new AdaptiveLoadBalancingPolicy(settings, 0),
             new CoordinatorEnvironment(loop, clock, lag, pool),
             e -> EventLog.info("defect of the module while warming up: " + e));
-    side = new DownstreamServer(loop, settings, core, AT_ONCE, null);
+    side = new DownstreamServer(loop, settings, core, AT_ONCE);
   }
 
   private void start(InetSocketAddress self) {
--- a/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
+++ b/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
@@ -77,7 +77,7 @@
                 new UpstreamConnectionPools(
                     loop, new ConnectionLimits(5_000_000_000L, 60_000_000_000L, 100))),
             defects::add);
-    server = new DownstreamServer(loop, settings, coordinator, MAX_CONNECTIONS, null);
+    server = new DownstreamServer(loop, settings, coordinator, MAX_CONNECTIONS);
     EndpointList knownEndpoints = EndpointList.of(fields.nested("known"));
     onLoop(
         () -> {
--- a/src/test/java/loadbalancer/proxy/lifecycle/WarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/WarmUpTest.java
@@ -65,9 +65,9 @@
             new CoordinatorEnvironment(loop, new EpochClock(), lag, pool),
             defect -> {});
     String path = WarmUp.newPath();
-    InetSocketAddress address =
-        new DownstreamServer(loop, settings, core, 100, path)
-            .listen(new InetSocketAddress("127.0.0.1", 0));
+    DownstreamServer server = new DownstreamServer(loop, settings, core, 100);
+    server.setWarmUpPath(path);
+    InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0));
     BlockingQueue<Integer> made = new LinkedBlockingQueue<>();
     loop.execute(this::stall);
     loop.execute(
