--- a/src/main/java/loadbalancer/proxy/downstream/RequestDecoder.java
+++ b/src/main/java/loadbalancer/proxy/downstream/RequestDecoder.java
@@ -7,22 +7,26 @@
 import io.netty.util.ReferenceCountUtil;
 import loadbalancer.proxy.transport.RawBytesFilter;
 
-/** Reads requests strictly, and shows the raw bytes to the connection's handler first. */
+/**
+ * Decodes the HTTP requests of one connection, with strict line ends. Bytes that the filter does
+ * not accept are released undecoded.
+ */
 public final class RequestDecoder extends HttpRequestDecoder {
 
-  private final RawBytesFilter reader;
+  private final RawBytesFilter filter;
 
-  public RequestDecoder(RawBytesFilter reader) {
+  /** Makes the decoder of the connection that this filter belongs to. */
+  public RequestDecoder(RawBytesFilter filter) {
     super(new HttpDecoderConfig().setStrictLineParsing(true));
-    this.reader = reader;
+    this.filter = filter;
   }
 
   @Override
-  public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-    if (message instanceof ByteBuf bytes && !reader.accepts(bytes)) {
+  public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
+    if (message instanceof ByteBuf bytes && !filter.accepts(bytes)) {
       ReferenceCountUtil.release(message);
       return;
     }
-    super.channelRead(ctx, message);
+    super.channelRead(context, message);
   }
 }
--- a/src/main/java/loadbalancer/proxy/downstream/package-info.java
+++ b/src/main/java/loadbalancer/proxy/downstream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections from clients: accepting, reading requests, time limits, writing answers. All state
- * belongs to the event loop.
+ * Connections from clients: accepting, receiving requests, time limits, writing responses. All
+ * state belongs to the event loop.
  */
 package loadbalancer.proxy.downstream;
