--- a/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
@@ -2,10 +2,10 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -15,350 +15,282 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.math.BigDecimal;
-import java.nio.charset.StandardCharsets;
-import java.util.concurrent.TimeUnit;
 import loadbalancer.proxy.coordinator.DownstreamClient;
 import loadbalancer.proxy.http.ClientRequest;
 import loadbalancer.proxy.http.InvalidRequestException;
 import loadbalancer.proxy.http.UpstreamResponse;
 import loadbalancer.proxy.telemetry.EventLog;
-import loadbalancer.proxy.transport.PeekableSocketChannel;
 import loadbalancer.proxy.transport.RawBytesFilter;
 
-/** One client connection: reads a request at a time, hands it to the core and writes its answer. */
+/**
+ * One client connection: receives one request at a time, submits it to the coordinator and writes
+ * its response. Belongs to the event loop: all methods are to be called on its thread.
+ */
 public final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
     implements DownstreamClient, RawBytesFilter {
 
-  /**
-   * A client that was told of its mistake is not read for so long: it may well ask the same again
-   * at full speed.
-   */
-  private static final long PENALTY_MILLIS = 500;
-
-  /**
-   * What is dropped behind a request that waits, to see its client leave; with more it is a flood,
-   * and is ended.
-   */
-  private static final int MOST_DROPPED = 64 << 10;
-
-  private final DownstreamServer side;
-  private ChannelHandlerContext ctx;
-  private HttpRequest head;
-  private ByteArrayOutputStream body;
-
-  /** The id of the request that waits for its answer, or null. */
-  private String waiting;
+  private final DownstreamServer server;
+  private final ConnectionTimes times = new ConnectionTimes();
+  private final DiscardedInput discardedInput = new DiscardedInput();
+  private final RequestAssembler assembler = new RequestAssembler();
+  private final ReadPenalty readPenalty = new ReadPenalty();
+  private ChannelHandlerContext context;
+  private ConnectionState state = ConnectionState.AWAITING_REQUEST;
 
-  private boolean keepAlive;
-  private boolean discarding;
-  private boolean paused;
-  private long dropped;
-  private final long openedAt = System.nanoTime();
+  /** The id of the request in flight, if the state has one. */
+  private String requestInFlightId;
 
-  /**
-   * When the last request ended, and when the first byte came of the one that has come in part; 0
-   * for never.
-   */
-  private long answeredAt;
-
-  private long partSince;
-
-  /** When the socket took no more of an answer; 0 while it does. */
-  private long stuckSince;
+  /** Whether the connection may stay open after the response to the last complete request. */
+  private boolean isKeepAlive;
 
-  public ClientConnection(DownstreamServer side) {
-    this.side = side;
+  /** Makes the handler of a connection to this server. */
+  public ClientConnection(DownstreamServer server) {
+    this.server = server;
   }
 
   @Override
-  public void handlerAdded(ChannelHandlerContext context) {
-    ctx = context;
+  public void handlerAdded(ChannelHandlerContext handlerContext) {
+    context = handlerContext;
   }
 
-  /** Nothing of a request has come that has no answer yet. */
+  /** Whether the connection is between two requests, with no byte of the next one received. */
   public boolean isIdle() {
-    return isAwaitingRequest() && partSince == 0;
+    return isAwaitingRequest() && !times.hasRequestStarted();
   }
 
-  /** No whole request has come that has no answer yet, and no last answer is on its way out. */
+  /** Whether no complete request is in flight and the connection is not closing. */
   public boolean isAwaitingRequest() {
-    return waiting == null && !discarding;
+    return state == ConnectionState.AWAITING_REQUEST;
   }
 
-  /** A connection on which nothing was ever asked in whole. */
+  /** Whether the connection awaits its first request, which may have started. */
   boolean isNeverUsed() {
-    return idleOrPart() && answeredAt == 0;
+    return isAwaitingRequest() && !times.hasResponded();
   }
 
-  /** How long nothing has been open on it, since the last answer or the connect. */
-  long idleFor(long now) {
-    return now - (answeredAt == 0 ? openedAt : answeredAt);
-  }
-
-  /**
-   * How long a request has been coming in, counted from the connect for the first one; 0 where none
-   * is.
-   */
-  long comingFor(long now) {
-    return !idleOrPart() || partSince == 0 ? 0 : now - (answeredAt == 0 ? openedAt : partSince);
+  /** Whether the connection is idle and has had a response. */
+  boolean isIdleAfterUse() {
+    return isIdle() && times.hasResponded();
   }
 
-  /** How long the client has not taken what was written to it. */
-  long stuckFor(long now) {
-    return stuckSince == 0 ? 0 : now - stuckSince;
+  /** When the connection last received, responded and stalled. */
+  ConnectionTimes times() {
+    return times;
   }
 
-  private boolean idleOrPart() {
-    return waiting == null && !discarding;
+  /**
+   * Time in nanoseconds for which an incomplete request has been received, counted from the connect
+   * for the first one; 0 where none is.
+   */
+  long receivingNanos(long nowNanos) {
+    return isAwaitingRequest() ? times.requestNanos(nowNanos) : 0;
   }
 
-  /** Ends a request that does not come to its end. */
+  /** Rejects a request that was not completed in time, and closes the connection. */
   void expire() {
-    reject(408, "the request took too long");
+    rejectInput(HttpResponseStatus.REQUEST_TIMEOUT, "the request took too long");
   }
 
+  /** Closes at once, without waiting for what is still to be written. */
   void abort() {
-    ctx.close();
+    context.close();
   }
 
-  /**
-   * The client's end lies behind whatever else waits unread, which is dropped; more than is dropped
-   * is a flood.
-   */
-  @Override
-  public boolean isConnected() {
-    int most = (int) (MOST_DROPPED + 1 - dropped);
-    int skipped =
-        ctx.channel() instanceof PeekableSocketChannel socket && most > 0 ? socket.skip(most) : 0;
-    if (skipped > 0) {
-      drop(skipped);
-    } else if (skipped < 0) {
-      // Told by this answer, once: another connection may ask under the same id before this one's
-      // end is read.
-      waiting = null;
-      abort();
-    }
-    return waiting != null;
+  /** Closes once all that was written has gone out, so that no response is cut short. */
+  void closeAfterWrites() {
+    // No longer idle, so that it is not selected for closing again while it closes.
+    state = state.discardingInput();
+    context.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
   }
 
-  /** Notes a request's first byte, and drops what a client sends that is not read any more. */
+  /** Passes on the bytes of a request, and discards what follows a request in flight. */
   @Override
   public boolean accepts(ByteBuf bytes) {
-    if (waiting == null && !discarding) {
-      partSince = partSince == 0 ? System.nanoTime() : partSince;
+    if (isAwaitingRequest()) {
+      times.requestBytesReceived();
       return true;
     }
-    drop(bytes.readableBytes());
+    discard(bytes.readableBytes());
     return false;
   }
 
-  private void drop(int bytes) {
-    discarding = true;
-    keepAlive = false;
-    dropped += bytes;
-    if (dropped > MOST_DROPPED && waiting != null) {
-      String id = waiting;
-      write(400, "more than a request".getBytes(StandardCharsets.UTF_8), "text/plain", 0);
-      side.clientDisconnected(id);
-    }
-  }
-
   /**
-   * Reads while there is something to read for. A connection whose request waits is always read, or
-   * nothing would tell that its client has left.
+   * Whether the client of the request in flight is still connected. Reads ahead in the socket,
+   * since a disconnect lies behind all other unread input, and discards that input.
    */
-  private void readOn() {
-    ctx.channel()
-        .config()
-        .setAutoRead(waiting != null || !discarding && !paused && ctx.channel().isWritable());
+  @Override
+  public boolean isConnected() {
+    int discarded = discardedInput.skipUnread(context.channel());
+    if (discarded > 0) {
+      discard(discarded);
+    } else if (discarded < 0) {
+      // This result notifies the caller. A notification when the close is read would come too late:
+      // another connection may have submitted a request with the same id by then.
+      state = state.afterRequest();
+      abort();
+    }
+    return state.hasRequestInFlight();
   }
 
-  /** Closes once all that was written has gone out: an answer must not be cut short. */
-  void close() {
-    // Chosen once: an idle connection whose close is under way makes no more room.
-    discarding = true;
-    ctx.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
+  private void discard(int bytes) {
+    state = state.discardingInput();
+    isKeepAlive = false;
+    discardedInput.add(bytes);
+    if (discardedInput.isFlood() && state.hasRequestInFlight()) {
+      String requestId = requestInFlightId;
+      respond(ResponseFactory.clientError(HttpResponseStatus.BAD_REQUEST, "more than a request"));
+      server.clientDisconnected(requestId);
+    }
   }
 
   @Override
-  protected void channelRead0(ChannelHandlerContext context, HttpObject message)
+  protected void channelRead0(ChannelHandlerContext handlerContext, HttpObject message)
       throws IOException {
-    if (discarding) {
+    if (state.isDiscardingInput()) {
       return;
     }
+    try {
+      receive(message);
+    } catch (InvalidRequestException e) {
+      rejectInput(HttpResponseStatus.valueOf(e.status()), e.getMessage());
+    }
+  }
+
+  private void receive(HttpObject message) throws InvalidRequestException, IOException {
     if (message.decoderResult().isFailure()) {
-      reject(400, "malformed request");
-      return;
+      throw new InvalidRequestException(HttpResponseStatus.BAD_REQUEST.code(), "malformed request");
     }
-    if (message instanceof HttpRequest next) {
-      begin(next);
+    if (message instanceof HttpRequest head) {
+      startRequest(head);
     }
-    if (message instanceof HttpContent part && head != null) {
-      part.content().readBytes(body, part.content().readableBytes());
-      if (body.size() > UpstreamResponse.MAX_BODY_BYTES) {
-        reject(413, "body over 64 KiB");
-      } else if (message instanceof LastHttpContent) {
-        whole();
-      }
+    if (message instanceof HttpContent content
+        && assembler.isReceiving()
+        && assembler.append(content)) {
+      handleCompleteRequest(assembler.finish());
     }
   }
 
-  private void begin(HttpRequest next) {
-    if (waiting != null) {
-      // Pipelining: the first request still gets its answer, the rest is dropped with the
-      // connection.
-      keepAlive = false;
-      discarding = true;
-      return;
-    }
-    try {
-      RequestHeadValidator.check(next);
-    } catch (InvalidRequestException e) {
-      reject(e.status(), e.getMessage());
+  private void startRequest(HttpRequest head) throws InvalidRequestException {
+    if (state.hasRequestInFlight()) {
+      // Pipelining: the request in flight keeps its response, and the connection closes after it.
+      isKeepAlive = false;
+      state = state.discardingInput();
       return;
     }
-    head = next;
-    body = new ByteArrayOutputStream();
-    if (HttpUtil.is100ContinueExpected(next)) {
-      ctx.writeAndFlush(
-          new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
+    assembler.start(head);
+    if (HttpUtil.is100ContinueExpected(head)) {
+      context.writeAndFlush(ResponseFactory.continueRequest());
     }
   }
 
-  private void whole() {
-    HttpRequest request = head;
-    head = null;
-    keepAlive = HttpUtil.isKeepAlive(request);
-    if (request.uri().equals("/up") || side.isWarmUpPath(request.uri())) {
-      write(
-          side.isReady() || side.isWarmUpPath(request.uri()) ? 200 : 503,
-          new byte[0],
-          "text/plain",
-          0);
+  private void handleCompleteRequest(HttpRequest head) {
+    isKeepAlive = HttpUtil.isKeepAlive(head);
+    if (server.isReadinessPath(head.uri())) {
+      respond(ResponseFactory.readiness(server.isReadyFor(head.uri())));
       return;
     }
     try {
-      ClientRequest taken = side.requestParser().parse(request, body.toByteArray());
-      waiting = taken.requestId();
-      if (!side.submit(taken, this)) {
-        waiting = null;
-        throw new InvalidRequestException(409, "this id is open already");
-      }
-      readOn();
+      submit(server.requestParser().parse(head, assembler.body()));
+      updateAutoRead();
     } catch (InvalidRequestException e) {
-      // No body to an answer to HEAD: it would be taken for the next answer.
-      String why = request.method().equals(HttpMethod.HEAD) ? "" : e.getMessage();
-      write(e.status(), why.getBytes(StandardCharsets.UTF_8), "text/plain", 0);
-      pause();
+      // A response to HEAD has no body: the client would read it as the next response.
+      String explanation = head.method().equals(HttpMethod.HEAD) ? "" : e.getMessage();
+      respond(ResponseFactory.clientError(HttpResponseStatus.valueOf(e.status()), explanation));
+      readPenalty.start(context.executor(), this::updateAutoRead);
+      updateAutoRead();
     }
   }
 
-  /**
-   * Slows a client that breaks the protocol; ending its connection would only bring it back at
-   * once.
-   */
-  private void pause() {
-    paused = true;
-    readOn();
-    ctx.executor()
-        .schedule(
-            () -> {
-              paused = false;
-              readOn();
-            },
-            PENALTY_MILLIS,
-            TimeUnit.MILLISECONDS);
+  private void submit(ClientRequest request) throws InvalidRequestException {
+    requestInFlightId = request.requestId();
+    state = ConnectionState.IN_FLIGHT;
+    if (!server.submit(request, this)) {
+      state = state.afterRequest();
+      throw new InvalidRequestException(
+          HttpResponseStatus.CONFLICT.code(), "this id is open already");
+    }
   }
 
-  /** Reads nothing from a client that does not take its answers. */
-  @Override
-  public void channelWritabilityChanged(ChannelHandlerContext context) {
-    stuckSince = context.channel().isWritable() ? 0 : System.nanoTime();
-    readOn();
+  /**
+   * Rejects input that breaks the protocol and reads no further request. A request in flight keeps
+   * its own response, which is then the last one.
+   */
+  private void rejectInput(HttpResponseStatus status, String explanation) {
+    isKeepAlive = false;
+    assembler.abort();
+    state = state.discardingInput();
+    if (!state.hasRequestInFlight()) {
+      respond(ResponseFactory.clientError(status, explanation));
+    }
   }
 
   /**
-   * Answers what breaks the protocol; a request that is taken already keeps its own, only answer.
+   * Reads while a request may be received. With a request in flight the connection is always read,
+   * since only reading shows that its client has disconnected.
    */
-  private void reject(int status, String why) {
-    keepAlive = false;
-    head = null;
-    // Read no more, unless to see a waiting one's client leave: what it sends must not fill the
-    // memory.
-    discarding = true;
-    if (waiting == null) {
-      write(status, why.getBytes(StandardCharsets.UTF_8), "text/plain", 0);
-    }
+  private void updateAutoRead() {
+    boolean mayReceive =
+        isAwaitingRequest() && !readPenalty.isActive() && context.channel().isWritable();
+    context.channel().config().setAutoRead(state.hasRequestInFlight() || mayReceive);
+  }
+
+  /** Reads no request from a client that does not read its responses. */
+  @Override
+  public void channelWritabilityChanged(ChannelHandlerContext handlerContext) {
+    times.writabilityChanged(handlerContext.channel().isWritable());
+    updateAutoRead();
   }
 
   @Override
-  public void sendResponse(UpstreamResponse answer) {
-    write(200, answer.body(), answer.contentType(), 0);
+  public void sendResponse(UpstreamResponse response) {
+    respond(ResponseFactory.served(response));
   }
 
   @Override
   public void sendRejection(long retryAfterNanos) {
-    write(429, new byte[0], null, retryAfterNanos);
+    respond(ResponseFactory.rejected(retryAfterNanos));
   }
 
   @Override
   public void sendFailure() {
-    write(502, new byte[0], null, 0);
+    respond(ResponseFactory.failed());
   }
 
-  private void write(int status, byte[] content, String contentType, long retryAfterNanos) {
-    waiting = null;
-    partSince = 0;
-    answeredAt = System.nanoTime();
-    FullHttpResponse response =
-        new DefaultFullHttpResponse(
-            HttpVersion.HTTP_1_1,
-            HttpResponseStatus.valueOf(status),
-            Unpooled.wrappedBuffer(content));
-    response.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.length);
-    if (contentType != null) {
-      response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
-    }
-    if (retryAfterNanos > 0) {
-      response
-          .headers()
-          .set(
-              HttpHeaderNames.RETRY_AFTER,
-              BigDecimal.valueOf(retryAfterNanos / 1_000_000, 3).toPlainString());
-    }
-    boolean last = !keepAlive || side.closesAfterResponse();
-    if (last) {
+  private void respond(FullHttpResponse response) {
+    state = state.afterRequest();
+    times.responseWritten();
+    boolean isLast = !isKeepAlive || server.closesAfterResponse();
+    if (isLast) {
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
-    var written = ctx.writeAndFlush(response);
-    if (last) {
-      discarding = true;
+    ChannelFuture written = context.writeAndFlush(response);
+    if (isLast) {
+      state = state.discardingInput();
       written.addListener(ChannelFutureListener.CLOSE);
     }
-    readOn();
-    side.becameIdle(this);
+    updateAutoRead();
+    server.responseWritten(this);
   }
 
   @Override
-  public void channelInactive(ChannelHandlerContext context) {
-    side.closed(this);
-    if (waiting != null) {
-      String id = waiting;
-      waiting = null;
-      side.clientDisconnected(id);
+  public void channelInactive(ChannelHandlerContext handlerContext) {
+    server.connectionClosed(this);
+    if (state.hasRequestInFlight()) {
+      state = state.afterRequest();
+      server.clientDisconnected(requestInFlightId);
     }
   }
 
   @Override
-  public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+  public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      EventLog.infoRateLimited("client " + context.channel().remoteAddress() + ": " + cause);
+      EventLog.infoRateLimited(
+          "downstream: connection error peer="
+              + handlerContext.channel().remoteAddress()
+              + " cause="
+              + cause);
     }
-    context.close();
+    handlerContext.close();
   }
 }
--- a/src/main/java/loadbalancer/proxy/downstream/ConnectionTimeouts.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ConnectionTimeouts.java
@@ -1,87 +1,91 @@
 package loadbalancer.proxy.downstream;
 
 import io.netty.channel.EventLoop;
-import java.util.Comparator;
 import java.util.concurrent.TimeUnit;
 
 /**
- * Time limits on client connections: without them those that say nothing, or never come to a
- * request's end, stay for ever, and once they hold all descriptors nobody is accepted any more. One
- * look at all of them now and then costs less than timers of each one's own.
+ * Enforces the time limits of client connections: without them, connections that send nothing or
+ * never complete a request would hold all descriptors in the end. Sweeps over all connections
+ * periodically, which costs less than a timer for each. Belongs to the event loop.
  */
 final class ConnectionTimeouts {
 
-  private static final long MILLI = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** The period of the looks: short, since at the limit the next client waits for one. */
-  private static final long LOOK_MILLIS = 50;
+  /** Short, since at the connection limit the next client waits for a sweep. */
+  private static final long SWEEP_PERIOD_MILLIS = 50;
 
   /**
-   * From the connect to the first request's end, or from a later one's first byte: an error is owed
-   * within 3 s.
+   * For receiving a request: from the connect for the first one, from its first byte for a later
+   * one. The protocol owes a peer without a proper request an error within 3 s.
    */
-  private static final long REQUEST_NANOS = 2_300 * MILLI;
-
-  /** A connection that asked before may be closed after 2 s, and is where there are many. */
-  private static final long IDLE_NANOS = 2_000 * MILLI;
+  private static final long MAX_RECEIVING_NANOS = 2_300 * NANOS_PER_MILLI;
 
   /**
-   * And where there are few: it costs memory, and clients that keep one for good never use it
-   * again.
+   * For the first request at the connection limit: clients send theirs directly after the connect.
    */
-  private static final long IDLE_LONG_NANOS = 10_000 * MILLI;
+  private static final long MAX_UNUSED_NANOS_WHEN_FULL = 250 * NANOS_PER_MILLI;
+
+  /** Between requests, with many connections open; the protocol allows a close after 2 s. */
+  private static final long MAX_IDLE_NANOS_WHEN_CROWDED = 2_000 * NANOS_PER_MILLI;
 
-  private static final double MANY_PART = 0.5;
+  /** Between requests, with few connections open: an idle connection holds memory. */
+  private static final long MAX_IDLE_NANOS = 10_000 * NANOS_PER_MILLI;
 
-  /** At the limit, one that has not asked so long after its connect: usual clients ask at once. */
-  private static final long SILENT_NANOS = 250 * MILLI;
+  /** The fraction of the connection limit beyond which many connections are open. */
+  private static final double CROWDED_FRACTION = 0.5;
 
-  /** A client that does not take its answer for so long does not want it. */
-  private static final long STUCK_NANOS = 5_000 * MILLI;
+  /** For a client to read what was written to it. */
+  private static final long MAX_WRITE_STALL_NANOS = 5_000 * NANOS_PER_MILLI;
 
   private final EventLoop loop;
-  private final DownstreamServer side;
-  private final int most;
+  private final ConnectionTable connections;
 
-  ConnectionTimeouts(EventLoop loop, DownstreamServer side, int most) {
+  /** Makes a sweep over this table, which {@link #start} begins. */
+  ConnectionTimeouts(EventLoop loop, ConnectionTable connections) {
     this.loop = loop;
-    this.side = side;
-    this.most = most;
+    this.connections = connections;
   }
 
+  /** Starts the periodic sweep, for the rest of the loop's life. */
   void start() {
-    loop.scheduleWithFixedDelay(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(
+        this::sweep, SWEEP_PERIOD_MILLIS, SWEEP_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private void look() {
-    long now = System.nanoTime();
-    for (ClientConnection c : side.connections()) {
-      long coming = c.comingFor(now);
-      if (c.stuckFor(now) > STUCK_NANOS) {
-        c.abort();
-      } else if (coming > REQUEST_NANOS || full() && c.isNeverUsed() && coming > SILENT_NANOS) {
-        c.expire();
-      } else if (c.isIdle() && c.idleFor(now) > longestIdle(c)) {
-        c.close();
-      }
+  private void sweep() {
+    long nowNanos = System.nanoTime();
+    for (ClientConnection connection : connections.snapshot()) {
+      enforceLimits(connection, nowNanos);
     }
-    if (full()) {
-      // Every one of them is busy or was so just now: the longest idle one gives way.
-      side.connections().stream()
-          .filter(c -> c.isIdle() && !c.isNeverUsed())
-          .max(Comparator.comparingLong(c -> c.idleFor(now)))
-          .ifPresent(ClientConnection::close);
+    if (connections.isFull()) {
+      // Makes room for the next client even where every connection is within its limits.
+      connections.leastRecentlyUsedIdle().ifPresent(ClientConnection::closeAfterWrites);
     }
   }
 
-  private long longestIdle(ClientConnection c) {
-    if (c.isNeverUsed()) {
-      return full() ? SILENT_NANOS : REQUEST_NANOS;
+  private void enforceLimits(ClientConnection connection, long nowNanos) {
+    if (connection.times().writeStalledNanos(nowNanos) > MAX_WRITE_STALL_NANOS) {
+      connection.abort();
+    } else if (connection.receivingNanos(nowNanos) > maxReceivingNanos(connection)) {
+      connection.expire();
+    } else if (connection.isIdle()
+        && connection.times().idleNanos(nowNanos) > maxIdleNanos(connection)) {
+      connection.closeAfterWrites();
     }
-    return side.openConnections() > most * MANY_PART ? IDLE_NANOS : IDLE_LONG_NANOS;
   }
 
-  private boolean full() {
-    return side.openConnections() >= most;
+  private long maxReceivingNanos(ClientConnection connection) {
+    boolean isUnusedWhenFull = connections.isFull() && connection.isNeverUsed();
+    return isUnusedWhenFull ? MAX_UNUSED_NANOS_WHEN_FULL : MAX_RECEIVING_NANOS;
+  }
+
+  private long maxIdleNanos(ClientConnection connection) {
+    if (connection.isNeverUsed()) {
+      return maxReceivingNanos(connection);
+    }
+    return connections.isFilledOver(CROWDED_FRACTION)
+        ? MAX_IDLE_NANOS_WHEN_CROWDED
+        : MAX_IDLE_NANOS;
   }
 }
--- a/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
@@ -1,221 +1,213 @@
 package loadbalancer.proxy.downstream;
 
-import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.FixedRecvByteBufAllocator;
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import java.net.InetSocketAddress;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Set;
 import loadbalancer.policy.settings.PolicySettings;
 import loadbalancer.proxy.coordinator.DownstreamClient;
 import loadbalancer.proxy.coordinator.RequestCoordinator;
 import loadbalancer.proxy.http.ClientRequest;
-import loadbalancer.proxy.transport.PeekableServerSocketChannel;
 
-/** The listening side: client connections, readiness, and the end of both at a planned stop. */
+/**
+ * Serves clients: listens, holds the table of client connections and its limit, responds to
+ * readiness checks, and closes the connections at a graceful shutdown. Belongs to the event loop:
+ * all methods but {@link #setWarmUpPath} and {@link #listen} are to be called on its thread.
+ */
 public final class DownstreamServer {
 
-  private static final int BACKLOG = 1024;
-
-  /**
-   * Read a piece at a time and few pieces in a row, or one client that floods would keep all others
-   * waiting.
-   */
-  private static final int READ_BYTES = 4096;
-
-  private static final int READS_IN_A_ROW = 2;
-
-  /**
-   * Accepted at a time: each is counted before the next one, or a crowd would come in far over the
-   * limit.
-   */
-  private static final int ACCEPTS_IN_A_ROW = 1;
+  private static final String READINESS_PATH = "/up";
 
   private final EventLoop loop;
   private final PolicySettings settings;
   private final ClientRequestParser requestParser;
-  private final RequestCoordinator core;
-  private final int most;
+  private final RequestCoordinator coordinator;
+  private final ConnectionTable connections;
+  private final ConnectionListener listener;
 
-  /** The connection that got its last answer longest ago comes first. */
-  private final Set<ClientConnection> connections = new LinkedHashSet<>();
+  private boolean isWarmedUp;
+  private boolean isShuttingDown;
+  private boolean closesAfterResponse;
 
-  private Channel listener;
-  private boolean ready;
-  private boolean draining;
-  private boolean closing;
+  /** Null without a warm-up, and after it. */
   private String warmUpPath;
 
-  /** Makes a server that holds at most {@code most} connections. */
+  /**
+   * Makes a server that accepts connections from {@link #listen} on.
+   *
+   * @param loop serves all connections
+   * @param settings the request classes and tenants that requests may name
+   * @param coordinator takes the clients' requests
+   * @param maxConnections open at a time
+   */
   public DownstreamServer(
-      EventLoop loop, PolicySettings settings, RequestCoordinator core, int most) {
+      EventLoop loop, PolicySettings settings, RequestCoordinator coordinator, int maxConnections) {
     this.loop = loop;
     this.settings = settings;
+    this.coordinator = coordinator;
     requestParser = new ClientRequestParser(settings);
-    this.core = core;
-    this.most = most;
+    connections = new ConnectionTable(maxConnections);
+    listener = new ConnectionListener(loop);
   }
 
+  // ---- Listening and readiness
+
   /**
-   * Responds to requests for this path with 200 until {@link #setReady}; to be called before {@link
-   * #listen}.
+   * Sets the path of the requests that the warm-up sends to its own process, which get status 200
+   * until {@link #setReady}; to be called before {@link #listen}.
    */
   public void setWarmUpPath(String path) {
     warmUpPath = path;
   }
 
-  /** Listens; waits for the bind, so it is not to be called on the loop. */
+  /**
+   * Listens, and starts the time limits of connections; waits for the bind, so it must not be
+   * called on the event loop.
+   *
+   * @return the bound address
+   * @throws InterruptedException if interrupted while waiting for the bind
+   */
   public InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
-    listener =
-        new ServerBootstrap()
-            .group(loop, loop)
-            .channelFactory(PeekableServerSocketChannel::new)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .option(
-                ChannelOption.RECVBUF_ALLOCATOR,
-                new FixedRecvByteBufAllocator(1).maxMessagesPerRead(ACCEPTS_IN_A_ROW))
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(
-                ChannelOption.RECVBUF_ALLOCATOR,
-                new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(READS_IN_A_ROW))
-            .childHandler(
-                new ChannelInitializer<Channel>() {
-                  @Override
-                  protected void initChannel(Channel channel) {
-                    ClientConnection handler = new ClientConnection(DownstreamServer.this);
-                    channel
-                        .pipeline()
-                        .addLast(new RequestDecoder(handler), new HttpResponseEncoder(), handler);
-                    opened(handler);
-                  }
-                })
-            .bind(address)
-            .sync()
-            .channel();
-    loop.execute(new ConnectionTimeouts(loop, this, most)::start);
-    return (InetSocketAddress) listener.localAddress();
+    InetSocketAddress bound = listener.bind(address, this::initialize);
+    loop.execute(new ConnectionTimeouts(loop, connections)::start);
+    return bound;
   }
 
+  /** Ends the warm-up: from now on readiness checks succeed. */
   public void setReady() {
-    ready = true;
+    isWarmedUp = true;
     warmUpPath = null;
   }
 
-  boolean isReady() {
-    return ready && !draining;
+  /** Whether this is the path of readiness checks, or that of the warm-up's requests. */
+  boolean isReadinessPath(String uri) {
+    return uri.equals(READINESS_PATH) || isWarmUpPath(uri);
   }
 
-  /** Whether each answer is its connection's last. */
-  boolean closesAfterResponse() {
-    return closing;
+  /** Whether a request for one of the readiness paths succeeds. */
+  boolean isReadyFor(String uri) {
+    return isWarmUpPath(uri) || isWarmedUp && !isShuttingDown;
   }
 
-  ClientRequestParser requestParser() {
-    return requestParser;
+  /** No client knows the warm-up's path. */
+  private boolean isWarmUpPath(String uri) {
+    return uri.equals(warmUpPath);
   }
 
+  /** The settings that requests are checked against. */
   public PolicySettings settings() {
     return settings;
   }
 
-  /**
-   * Whether this is where the balancer's own warm-up asks: nobody else knows the path, and it ends
-   * with that.
-   */
-  boolean isWarmUpPath(String uri) {
-    return uri.equals(warmUpPath);
-  }
+  // ---- Connections
 
-  /** All connections, the one that got its last answer longest ago first. */
+  /** The open connections, the one with the least recent response first; a copy. */
   public List<ClientConnection> connections() {
-    return List.copyOf(connections);
+    return connections.snapshot();
   }
 
+  /** The number of open connections. */
   public int openConnections() {
     return connections.size();
   }
 
-  boolean submit(ClientRequest request, DownstreamClient client) {
-    return core.accept(request, client);
-  }
-
-  void clientDisconnected(String id) {
-    core.clientDisconnected(id);
+  private void initialize(Channel channel) {
+    ClientConnection connection = new ClientConnection(this);
+    channel
+        .pipeline()
+        .addLast(new RequestDecoder(connection), new HttpResponseEncoder(), connection);
+    connectionOpened(connection);
   }
 
   /**
-   * At the limit the longest idle connection gives way at once, or a crowd of clients, and the
-   * front's question whether this balancer is up, would wait in line; with none nothing is accepted
-   * until {@link ConnectionTimeouts} has made room.
+   * At the limit, closes the least recently used idle connection, so that a new client (or a
+   * readiness check) need not wait for a sweep of {@link ConnectionTimeouts}. Without an idle
+   * connection nothing more is accepted until a connection closes.
    */
-  private void opened(ClientConnection handler) {
-    connections.add(handler);
-    if (connections.size() >= most) {
-      connections.stream()
-          .filter(c -> c != handler && c.isIdle() && !c.isNeverUsed())
-          .findFirst()
-          .ifPresentOrElse(ClientConnection::close, () -> listener.config().setAutoRead(false));
+  private void connectionOpened(ClientConnection connection) {
+    connections.add(connection);
+    if (connections.isFull()) {
+      connections
+          .leastRecentlyUsedIdle()
+          .ifPresentOrElse(ClientConnection::closeAfterWrites, listener::pauseAccepting);
     }
   }
 
-  void closed(ClientConnection handler) {
-    connections.remove(handler);
-    if (connections.size() < most && listener != null && listener.isOpen()) {
-      listener.config().setAutoRead(true);
+  /** Removes a closed connection, and accepts again below the limit. */
+  void connectionClosed(ClientConnection connection) {
+    connections.remove(connection);
+    if (!connections.isFull()) {
+      listener.resumeAccepting();
     }
   }
 
-  void becameIdle(ClientConnection handler) {
-    if (connections.remove(handler)) {
-      connections.add(handler);
-    }
+  /** Notes that this connection has had the most recent response. */
+  void responseWritten(ClientConnection connection) {
+    connections.responseWritten(connection);
   }
 
-  /**
-   * Begins a planned stop: the front is told to send no more clients; those that are here are
-   * served on.
-   */
+  // ---- Requests
+
+  /** Parses and checks the requests of all connections. */
+  ClientRequestParser requestParser() {
+    return requestParser;
+  }
+
+  /** Submits a request; false if a request with its id is open already. */
+  boolean submit(ClientRequest request, DownstreamClient client) {
+    return coordinator.accept(request, client);
+  }
+
+  /** Notifies the coordinator that the client of this open request has disconnected. */
+  void clientDisconnected(String requestId) {
+    coordinator.clientDisconnected(requestId);
+  }
+
+  // ---- Graceful shutdown, in the order of its steps
+
+  /** Fails readiness checks from now on; connected and new clients are served as before. */
   public void beginGracefulShutdown() {
-    draining = true;
+    isShuttingDown = true;
   }
 
-  /** Accepts no more. */
+  /** Accepts no more connections. */
   public void stopListening() {
     listener.close();
   }
 
   /**
-   * Each answer is its connection's last from now on, and those between two requests end now. A
-   * request that has come in part is owed its answer once it is whole; so is the first one of a new
-   * connection, which may be on its way.
+   * Closes each connection after its next response from now on, and idle ones at once. Kept are
+   * connections that are receiving a request, and unused ones, whose first request may be on its
+   * way: both are owed a response.
    */
   public void closeIdleConnections() {
-    closing = true;
-    connections().stream()
-        .filter(c -> c.isIdle() && !c.isNeverUsed())
-        .forEach(ClientConnection::close);
+    closesAfterResponse = true;
+    connections.snapshot().stream()
+        .filter(ClientConnection::isIdleAfterUse)
+        .forEach(ClientConnection::closeAfterWrites);
+  }
+
+  /** Whether each connection closes after its next response. */
+  boolean closesAfterResponse() {
+    return closesAfterResponse;
   }
 
   /**
-   * Waits no longer for what has not come whole: a slow sender must not keep the process from its
-   * end.
+   * Closes connections without a complete request, after a 408 where one is being received: a slow
+   * sender must not delay the end of the process.
    */
   public void endIncompleteRequests() {
-    connections().stream()
+    connections.snapshot().stream()
         .filter(ClientConnection::isAwaitingRequest)
-        .forEach(
-            c -> {
-              if (c.isIdle()) {
-                c.close();
-              } else {
-                c.expire();
-              }
-            });
+        .forEach(DownstreamServer::endIncompleteRequest);
+  }
+
+  private static void endIncompleteRequest(ClientConnection connection) {
+    if (connection.isIdle()) {
+      connection.closeAfterWrites();
+    } else {
+      connection.expire();
+    }
   }
 }
