--- a/src/test/java/loadbalancer/proxy/ClientConnectionLimitsTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientConnectionLimitsTest.java
@@ -17,94 +17,103 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Clients that say nothing, never finish, hide something or flood: each gets an error or an end,
- * all others go on.
+ * Clients that send nothing or an incomplete request, smuggle a request or open too many
+ * connections: each gets an error or a close, and other clients are served.
  */
 class ClientConnectionLimitsTest {
 
-  private static final String ORDER = TestClient.keyedRequest("1", 15_000);
+  private static final String KEYED_REQUEST = TestClient.keyedRequest("1", 15_000);
 
   @Test
-  void silentConnectionIsEnded() throws Exception {
-    TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1);
-    try (TestClient silent = new TestClient(node.address)) {
-      assertTrue(silent.isClosedByServer());
+  void silentConnectionIsClosed() throws Exception {
+    TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1);
+    try (TestClient silentClient = new TestClient(proxy.address)) {
+      assertTrue(silentClient.isClosedByServer());
     }
   }
 
-  static Stream<String> unfinished() {
+  static Stream<String> incompleteRequests() {
     return Stream.of(
         "GET /look HTTP/1.1\r\nHost: h\r\n",
         "G",
-        ORDER.replace("Length: 4", "Length: 400"),
-        ORDER
+        KEYED_REQUEST.replace("Length: 4", "Length: 400"),
+        KEYED_REQUEST
             .replace("Content-Length: 4", "Transfer-Encoding: chunked")
             .replace("body", "4\r\nbody\r\n"));
   }
 
   @ParameterizedTest
-  @MethodSource("unfinished")
-  void requestThatNeverEndsIsAnswered408AndEnded(String part) throws Exception {
+  @MethodSource("incompleteRequests")
+  void incompleteRequestGets408AndAClose(String incompleteRequest) throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(node.address)) {
-        assertEquals(408, client.exchange(part).status());
+      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+      try (TestClient client = new TestClient(proxy.address)) {
+        assertEquals(408, client.exchange(incompleteRequest).status());
         assertTrue(client.isClosedByServer());
         assertEquals(0, upstream.requests.size());
       }
     }
   }
 
-  private static Arguments row(int status, String from, String to) {
-    return Arguments.of(status, ORDER.replace(from, to));
+  private static Arguments changedRequest(int status, String from, String to) {
+    return Arguments.of(status, KEYED_REQUEST.replace(from, to));
   }
 
-  /**
-   * With what is hidden in the body: each must be refused as a whole, and nothing of it passed on.
-   */
-  static Stream<Arguments> smuggled() {
+  /** Requests with ambiguous framing, some with a request hidden in the body. */
+  static Stream<Arguments> ambiguousRequests() {
     String hidden = "0\r\n\r\n" + TestClient.idempotentRequest("2", 15_000, "");
-    String both = "Content-Length: " + hidden.length() + "\r\nTransfer-Encoding: ";
+    String lengthAndCoding = "Content-Length: " + hidden.length() + "\r\nTransfer-Encoding: ";
     return Stream.of(
-        row(400, "Content-Length: 4\r\n\r\nbody", both + "chunked\r\n\r\n" + hidden),
-        row(400, "Content-Length: 4\r\n\r\nbody", both + "gzip, chunked\r\n\r\n" + hidden),
-        row(400, "Content-Length: 4\r\n\r\nbody", both + "identity\r\n\r\n" + hidden),
-        row(400, "Content-Length: 4\r\n\r\nbody", both + "\tchunked\r\n\r\n" + hidden),
-        row(400, "Content-Length: 4\r\n\r\nbody", both + "\r\n chunked\r\n\r\n" + hidden),
-        row(
+        changedRequest(
+            400, "Content-Length: 4\r\n\r\nbody", lengthAndCoding + "chunked\r\n\r\n" + hidden),
+        changedRequest(
             400,
             "Content-Length: 4\r\n\r\nbody",
-            both.replace("Encoding:", "Encoding :") + "chunked\r\n\r\n" + hidden),
-        row(
+            lengthAndCoding + "gzip, chunked\r\n\r\n" + hidden),
+        changedRequest(
+            400, "Content-Length: 4\r\n\r\nbody", lengthAndCoding + "identity\r\n\r\n" + hidden),
+        changedRequest(
+            400, "Content-Length: 4\r\n\r\nbody", lengthAndCoding + "\tchunked\r\n\r\n" + hidden),
+        changedRequest(
             400,
             "Content-Length: 4\r\n\r\nbody",
-            both + "chunked\r\nTransfer-Encoding: chunked\r\n\r\n" + hidden),
-        row(400, "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 4"),
-        row(400, "Content-Length: 4", "Content-Length: 4, 4"),
-        row(400, "Content-Length: 4", "Content-Length: +4"),
-        row(400, "Content-Length: 4", "Content-Length: -4"),
-        row(400, "Content-Length: 4", "Content-Length: 4\nX: y"),
-        row(505, "HTTP/1.1", "HTTP/1.0"),
-        row(413, "Content-Length: 4\r\n\r\nbody", "Content-Length: 62914560\r\n\r\n"),
-        row(400, "Content-Length: 4\r\n\r\nbody", "Content-Length: 99999999999999999999\r\n\r\n"));
+            lengthAndCoding + "\r\n chunked\r\n\r\n" + hidden),
+        changedRequest(
+            400,
+            "Content-Length: 4\r\n\r\nbody",
+            lengthAndCoding.replace("Encoding:", "Encoding :") + "chunked\r\n\r\n" + hidden),
+        changedRequest(
+            400,
+            "Content-Length: 4\r\n\r\nbody",
+            lengthAndCoding + "chunked\r\nTransfer-Encoding: chunked\r\n\r\n" + hidden),
+        changedRequest(400, "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 4"),
+        changedRequest(400, "Content-Length: 4", "Content-Length: 4, 4"),
+        changedRequest(400, "Content-Length: 4", "Content-Length: +4"),
+        changedRequest(400, "Content-Length: 4", "Content-Length: -4"),
+        changedRequest(400, "Content-Length: 4", "Content-Length: 4\nX: y"),
+        changedRequest(505, "HTTP/1.1", "HTTP/1.0"),
+        changedRequest(413, "Content-Length: 4\r\n\r\nbody", "Content-Length: 62914560\r\n\r\n"),
+        changedRequest(
+            400, "Content-Length: 4\r\n\r\nbody", "Content-Length: 99999999999999999999\r\n\r\n"));
   }
 
   @ParameterizedTest
-  @MethodSource("smuggled")
-  void framingThatCanBeReadInTwoWaysIsRefusedAndEnded(int status, String request) throws Exception {
+  @MethodSource("ambiguousRequests")
+  void requestWithAmbiguousFramingIsRejectedAndClosed(int status, String request) throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(node.address);
-          TestClient next = new TestClient(node.address)) {
+      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+      try (TestClient client = new TestClient(proxy.address);
+          TestClient nextClient = new TestClient(proxy.address)) {
         assertEquals(status, client.exchange(request).status());
         assertTrue(client.isClosedByServer());
-        assertEquals(200, next.exchange(TestClient.idempotentRequest("3", 15_000, "")).status());
-        assertEquals(1, upstream.requests.size(), "nothing of it went on");
+        assertEquals(
+            200, nextClient.exchange(TestClient.idempotentRequest("3", 15_000, "")).status());
+        assertEquals(1, upstream.requests.size(), "none of the rejected request was forwarded");
       }
     }
   }
 
-  static Stream<String> repeated() {
+  static Stream<String> repeatedHeaders() {
     return Stream.of(
         "X-Correlation-Id: 2",
         "X-Service-Class: order",
@@ -115,106 +124,107 @@
   }
 
   @ParameterizedTest
-  @MethodSource("repeated")
-  void repeatedProtocolHeaderIsRefused(String header) throws Exception {
+  @MethodSource("repeatedHeaders")
+  void repeatedProtocolHeaderIsRejected(String header) throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(node.address)) {
+      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+      try (TestClient client = new TestClient(proxy.address)) {
         assertEquals(
-            400, client.exchange(ORDER.replace("Host: h", "Host: h\r\n" + header)).status());
+            400,
+            client.exchange(KEYED_REQUEST.replace("Host: h", "Host: h\r\n" + header)).status());
         assertEquals(0, upstream.requests.size());
       }
     }
   }
 
   @Test
-  void clientToldOfItsMistakeIsSlowedAndStillServed() throws Exception {
+  void clientOfAnInvalidRequestIsSlowedDownAndServed() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(node.address)) {
+      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+      try (TestClient client = new TestClient(proxy.address)) {
         assertEquals(
             400,
             client
                 .exchange(TestClient.idempotentRequest("1", 15_000, "").replace("acme", "nobody"))
                 .status());
-        long told = System.nanoTime();
+        long rejectedAtNanos = System.nanoTime();
         assertEquals(200, client.exchange(TestClient.idempotentRequest("2", 15_000, "")).status());
-        assertTrue(System.nanoTime() - told > 300_000_000L, "not at full speed");
+        assertTrue(
+            System.nanoTime() - rejectedAtNanos > 300_000_000L, "the client was not slowed down");
       }
     }
   }
 
   @Test
-  void silentConnectionsAtTheLimitGiveWayToOneThatAsks() throws Exception {
+  void silentConnectionsAtTheLimitAreClosedForAClientWithARequest() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestProxy node =
+      TestProxy proxy =
           new TestProxy(
               TestProxy.configurationJson(TestProxy.unreachableAddress(), 1, upstream)
                   .replace("\"sockets\":1024", "\"sockets\":20"));
-      List<TestClient> silent = new ArrayList<>();
+      List<TestClient> silentClients = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
-        silent.add(new TestClient(node.address));
+        silentClients.add(new TestClient(proxy.address));
       }
-      try (TestClient client = new TestClient(node.address)) {
+      try (TestClient client = new TestClient(proxy.address)) {
         assertEquals(200, client.exchange(TestClient.idempotentRequest("1", 15_000, "")).status());
       }
-      for (TestClient s : silent) {
-        s.close();
+      for (TestClient silentClient : silentClients) {
+        silentClient.close();
       }
     }
   }
 
   @Test
-  void clientThatSentTooMuchIsSeenToLeave() throws Exception {
+  void disconnectBehindAPipelinedRequestIsDetected() throws Exception {
     try (FakeHttpServer upstream = new FakeHttpServer((request, connection, out) -> {})) {
-      TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(node.address)) {
+      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+      try (TestClient client = new TestClient(proxy.address)) {
         client.send(TestClient.idempotentRequest("1", 15_000, ""));
         TestProxy.waitUntil(() -> upstream.requests.size() == 1);
         client.send(TestClient.idempotentRequest("2", 15_000, ""));
       }
-      long start = System.nanoTime();
+      long disconnectedAtNanos = System.nanoTime();
       TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
-      assertTrue(System.nanoTime() - start < 14_000_000_000L, "before the request's time was up");
+      assertTrue(
+          System.nanoTime() - disconnectedAtNanos < 14_000_000_000L,
+          "detected only after the request's time limit");
     }
   }
 
   @Test
-  void warmUpIsAnsweredToNobodyElse() throws Exception {
-    TestProxy node = new TestProxy(TestProxy.unreachableAddress(), 1);
-    try (TestClient client = new TestClient(node.address)) {
+  void warmUpPathIsUnknownToClients() throws Exception {
+    TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1);
+    try (TestClient client = new TestClient(proxy.address)) {
       assertEquals(400, client.exchange("GET /live HTTP/1.1\r\nHost: h\r\n\r\n").status());
     }
   }
 
-  /**
-   * Guards the descriptors of upstreams and discovery: a crowd that waits to be accepted must not
-   * take them.
-   */
+  /** More would take the descriptors of the connections to upstreams and to discovery. */
   @Test
-  void crowdIsAcceptedUpToTheLimitAndNoFurther() throws Exception {
+  void connectionsAreAcceptedUpToTheLimit() throws Exception {
     EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    List<TestClient> crowd = new ArrayList<>();
+    List<TestClient> clients = new ArrayList<>();
     try {
-      TestDownstreamServer side = new TestDownstreamServer(loop, event -> {});
-      CountDownLatch behind = new CountDownLatch(1);
-      TestProxy.block(loop, behind);
+      TestDownstreamServer server = new TestDownstreamServer(loop, event -> {});
+      CountDownLatch loopMayContinue = new CountDownLatch(1);
+      TestProxy.block(loop, loopMayContinue);
       for (int i = 0; i < 2 * TestDownstreamServer.MAX_CONNECTIONS; i++) {
-        crowd.add(new TestClient(side.address));
+        clients.add(new TestClient(server.address));
       }
-      behind.countDown();
-      int[] most = {0};
+      loopMayContinue.countDown();
+      int[] maxOpen = {0};
       TestProxy.waitUntil(
           () -> {
-            most[0] = Math.max(most[0], side.openConnections());
-            return most[0] >= TestDownstreamServer.MAX_CONNECTIONS;
+            maxOpen[0] = Math.max(maxOpen[0], server.openConnections());
+            return maxOpen[0] >= TestDownstreamServer.MAX_CONNECTIONS;
           });
       for (int i = 0; i < 1_000; i++) {
-        most[0] = Math.max(most[0], side.openConnections());
+        maxOpen[0] = Math.max(maxOpen[0], server.openConnections());
       }
-      assertEquals(TestDownstreamServer.MAX_CONNECTIONS, most[0]);
+      assertEquals(TestDownstreamServer.MAX_CONNECTIONS, maxOpen[0]);
     } finally {
-      for (TestClient client : crowd) {
+      for (TestClient client : clients) {
         client.close();
       }
       loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
