--- a/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
@@ -285,7 +285,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      EventLog.infoRateLimited(
+      EventLog.warnRateLimited(
           "downstream: connection error peer="
               + handlerContext.channel().remoteAddress()
               + " cause="
--- a/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
@@ -87,7 +87,7 @@
 
   /** Whether a request for one of the readiness paths succeeds. */
   boolean isReadyFor(String uri) {
-    return isWarmUpPath(uri) || isWarmedUp && !isShuttingDown;
+    return isWarmUpPath(uri) || (isWarmedUp && !isShuttingDown);
   }
 
   /** No client knows the warm-up's path. */
