--- a/src/test/java/loadbalancer/policy/SlidingWindowTest.java
+++ b/src/test/java/loadbalancer/policy/SlidingWindowTest.java
@@ -37,4 +37,15 @@
       assertEquals(0, window.total(11_100 + pause, Metric.LATENCY), 1e-9, "after " + pause);
     }
   }
+
+  @Test
+  void meanLooksBackOnlyWhereTheLastWindowHoldsTooFewSamples() {
+    SlidingWindow window = new SlidingWindow(1200, 5, 0);
+    window.add(1_000, Metric.SAMPLES, 1);
+    window.add(1_000, Metric.LATENCY, 8);
+    window.add(3_000, Metric.SAMPLES, 1);
+    window.add(3_000, Metric.LATENCY, 2);
+    assertEquals(2, window.mean(3_000, 1), 1e-9, "one sample is enough");
+    assertEquals(5, window.mean(3_000, 2), 1e-9, "two samples, one of them older than a window");
+  }
 }
--- a/src/test/java/loadbalancer/policy/TestSettings.java
+++ b/src/test/java/loadbalancer/policy/TestSettings.java
@@ -72,16 +72,7 @@
   }
 
   TestSettings responseSlack(long nanos) {
-    serviceRules =
-        new ServiceRules(
-            nanos,
-            serviceRules.maxPollIntervalNanos(),
-            serviceRules.drainGraceNanos(),
-            serviceRules.initialCapacityFraction(),
-            serviceRules.warmUpNanos(),
-            serviceRules.overloadMultiple(),
-            serviceRules.overloadWindowNanos());
-    return this;
+    return serviceRules(nanos, serviceRules.maxPollIntervalNanos());
   }
 
   TestSettings crossZoneCost(double newCrossZoneCost) {
@@ -92,16 +83,19 @@
   /** Has the endpoint list come on request only. */
   TestSettings endpointListPolled() {
     endpointListPolled = true;
-    serviceRules =
+    return serviceRules(serviceRules.responseSlackNanos(), MAX_POLL_INTERVAL_NANOS);
+  }
+
+  private TestSettings serviceRules(long responseSlackNanos, long maxPollIntervalNanos) {
+    return serviceRules(
         new ServiceRules(
-            serviceRules.responseSlackNanos(),
-            MAX_POLL_INTERVAL_NANOS,
+            responseSlackNanos,
+            maxPollIntervalNanos,
             serviceRules.drainGraceNanos(),
             serviceRules.initialCapacityFraction(),
             serviceRules.warmUpNanos(),
             serviceRules.overloadMultiple(),
-            serviceRules.overloadWindowNanos());
-    return this;
+            serviceRules.overloadWindowNanos()));
   }
 
   PolicySettings build() {
