--- a/src/main/java/loadbalancer/proxy/coordinator/AttemptForwarder.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/AttemptForwarder.java
@@ -1,6 +1,5 @@
 package loadbalancer.proxy.coordinator;
 
-import java.util.List;
 import loadbalancer.policy.action.CancelAttempt;
 import loadbalancer.policy.action.ForwardAttempt;
 import loadbalancer.policy.event.AttemptStatus;
@@ -60,7 +59,7 @@
   }
 
   private AttemptPlan plan(ForwardAttempt action, OpenRequest request, UpstreamEndpoint endpoint) {
-    int index = request.attempts().size();
+    int index = request.attemptCount();
     long nowNanos = environment.clock().nowNanos();
     long timeLeftNanos = request.deadlineNanos() - nowNanos;
     long timeoutNanos =
@@ -77,12 +76,8 @@
   /** Cancels an attempt; has no effect if it has completed or was never made. */
   void cancel(CancelAttempt action) {
     OpenRequest request = tables.requests().find(action.requestId());
-    if (request == null) {
-      return;
-    }
-    List<UpstreamAttempt> attempts = request.attempts();
-    if (action.attempt() < attempts.size()) {
-      attempts.get(action.attempt()).complete(AttemptStatus.CANCELLED, null);
+    if (request != null && action.attempt() < request.attemptCount()) {
+      request.attempt(action.attempt()).complete(AttemptStatus.CANCELLED, null);
     }
   }
 }
--- a/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
@@ -2,7 +2,6 @@
 
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.ArrayList;
-import java.util.Collections;
 import java.util.List;
 import loadbalancer.policy.settings.DeduplicationScope;
 import loadbalancer.policy.settings.RequestClass;
@@ -56,9 +55,14 @@
     return deadlineNanos;
   }
 
-  /** The attempts made so far, in forwarding order; a view that cannot be modified. */
-  List<UpstreamAttempt> attempts() {
-    return Collections.unmodifiableList(attempts);
+  /** The number of attempts made so far. */
+  int attemptCount() {
+    return attempts.size();
+  }
+
+  /** The attempt with this index, which is below {@link #attemptCount}. */
+  UpstreamAttempt attempt(int index) {
+    return attempts.get(index);
   }
 
   /** Adds an attempt, whose index is the number of those before it. */
--- a/src/main/java/loadbalancer/proxy/coordinator/RequestCompleter.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/RequestCompleter.java
@@ -7,8 +7,9 @@
 import loadbalancer.proxy.telemetry.TrafficCounters;
 
 /**
- * Completes requests: each gets at most one final response, which is counted. All state belongs to
- * the event loop.
+ * Completes requests: each gets at most one final response. Counts rejections, failures and
+ * disconnects; served attempts are counted by {@link AttemptStatistics}. All state belongs to the
+ * event loop.
  */
 final class RequestCompleter {
 
@@ -94,7 +95,7 @@
   }
 
   private void sendRejection(OpenRequest request, long retryAfterNanos) {
-    if (request.attempts().isEmpty() && policyEvents.isLatestEventAnArrival()) {
+    if (request.attemptCount() == 0 && policyEvents.isLatestEventAnArrival()) {
       counters.requestRejectedOnArrival();
     } else {
       counters.requestRejectedLater();
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
@@ -23,7 +23,7 @@
    */
   private static final long STALE_CONNECTION_RESET_NANOS = 50_000_000L;
 
-  /** An upstream is never told that no time is left: it would not begin the request. */
+  /** The least time left that is stated to an upstream. */
   private static final long MIN_TIME_LEFT_MILLIS = 1;
 
   /** Notified on the event loop, once, when an attempt completes. */
