--- a/src/test/java/loadbalancer/policy/BoundedLoadPlacementTest.java
+++ b/src/test/java/loadbalancer/policy/BoundedLoadPlacementTest.java
@@ -7,7 +7,9 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
+import java.util.stream.IntStream;
 import loadbalancer.policy.event.AttemptStatus;
+import loadbalancer.policy.event.EndpointDescriptor;
 import loadbalancer.policy.event.EndpointListUpdate;
 import loadbalancer.policy.settings.PolicySettings;
 import org.junit.jupiter.api.Test;
@@ -68,9 +70,11 @@
   void zoneLeftWithOneEndpointGetsItsFractionOfTheTrafficOnly() {
     PolicySettings settings = new TestSettings().balancer(0, 100, "a").crossZoneCost(0.05).build();
     PolicyDriver driver = new PolicyDriver(settings);
-    driver.updateEndpoints(
-        EndpointListUpdate.Kind.CACHED,
-        TestEndpoints.spreadOverZones(10, "a", "b", "b", "b", "b", "b", "b", "b", "b", "b"));
+    EndpointDescriptor[] oneInZoneA =
+        IntStream.range(0, 10)
+            .mapToObj(i -> TestEndpoints.readyIn(i == 0 ? "a" : "b", i, i))
+            .toArray(EndpointDescriptor[]::new);
+    driver.updateEndpoints(EndpointListUpdate.Kind.CACHED, oneInZoneA);
     int local = 0;
     for (int i = 0; i < 200; i++) {
       local += driver.serveRequest("k" + i, millis(20)) == 0 ? 1 : 0;
--- a/src/test/java/loadbalancer/policy/EmbeddingExample.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingExample.java
@@ -30,45 +30,52 @@
             "page",
             RequestEffect.IDEMPOTENT,
             DeduplicationScope.ALL,
-            0,
-            millis(200),
-            0,
-            millis(1000),
-            1,
-            0,
-            false);
+            /* deduplicationWindowNanos= */ 0,
+            /* latencyObjectiveNanos= */ millis(200),
+            /* objectiveStretch= */ 0,
+            /* deadlineNanos= */ millis(1000),
+            /* priorityWeight= */ 1,
+            /* lateFraction= */ 0,
+            /* streamed= */ false);
     Limits limits =
         new Limits(
-            true,
-            false,
-            false,
-            true,
-            true,
-            millis(1000),
-            3,
-            10_000,
-            1,
-            millis(250),
-            millis(15_000));
+            /* cancellation= */ true,
+            /* healthChecks= */ false,
+            /* peerMessages= */ false,
+            /* hedging= */ true,
+            /* retryAfter= */ true,
+            /* maxRetryAfterNanos= */ millis(1000),
+            /* maxAttempts= */ 3,
+            /* maxOpenRequests= */ 10_000,
+            /* streamsPerConnection= */ 1,
+            /* connectTimeoutNanos= */ millis(250),
+            /* connectionIdleTimeoutNanos= */ millis(15_000));
     ServiceRules serviceRules =
-        new ServiceRules(millis(20), 0, millis(1000), 0.2, millis(10_000), 3, millis(2000));
+        new ServiceRules(
+            /* responseSlackNanos= */ millis(20),
+            /* maxPollIntervalNanos= */ 0,
+            /* drainGraceNanos= */ millis(1000),
+            /* initialCapacityFraction= */ 0.2,
+            /* warmUpNanos= */ millis(10_000),
+            /* overloadMultiple= */ 3,
+            /* overloadWindowNanos= */ millis(2000));
     PolicySettings settings =
         new PolicySettings(
-            0,
-            1,
+            /* instanceIndex= */ 0,
+            /* groupSize= */ 1,
             "zone-a",
             List.of(page),
-            List.of(),
+            /* tenants= */ List.of(),
             limits,
             serviceRules,
-            new Costs(0, 0, 0),
-            false,
+            new Costs(/* crossZone= */ 0, /* waste= */ 0, /* lateFailure= */ 0),
+            /* endpointListPolled= */ false,
             WeightKind.NONE,
-            1,
-            false,
-            millis(1));
+            /* overQuotaWeight= */ 1,
+            /* endpointsCacheKeys= */ false,
+            /* clockResolutionNanos= */ millis(1));
 
-    LoadBalancingPolicy policy = new AdaptiveLoadBalancingPolicy(settings, 42);
+    LoadBalancingPolicy policy = new AdaptiveLoadBalancingPolicy(settings, /* seed= */ 42);
     List<Action> actions = new ArrayList<>();
     long nowNanos = millis(5_000);
     EndpointDescriptor first = new EndpointDescriptor(1, "zone-a", 0, EndpointStatus.READY, 0, 1);
--- a/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -116,26 +116,26 @@
       }
     }
     return new PolicySettings(
-        0,
-        1 + random.nextInt(3),
+        /* instanceIndex= */ 0,
+        /* groupSize= */ 1 + random.nextInt(3),
         "z0",
         requestClasses,
-        List.of(new Tenant("t", 1, random.nextInt(200))),
+        List.of(new Tenant("t", /* capacityShare= */ 1, random.nextInt(200))),
         randomLimits(),
         new ServiceRules(
-            millis(12),
-            random.nextBoolean() ? millis(10_000) : 0,
-            0,
-            0.2,
-            millis(5000),
-            3,
-            millis(2000)),
-        new Costs(0, 0, 0),
-        random.nextBoolean(),
+            /* responseSlackNanos= */ millis(12),
+            /* maxPollIntervalNanos= */ random.nextBoolean() ? millis(10_000) : 0,
+            /* drainGraceNanos= */ 0,
+            /* initialCapacityFraction= */ 0.2,
+            /* warmUpNanos= */ millis(5000),
+            /* overloadMultiple= */ 3,
+            /* overloadWindowNanos= */ millis(2000)),
+        new Costs(/* crossZone= */ 0, /* waste= */ 0, /* lateFailure= */ 0),
+        /* endpointListPolled= */ random.nextBoolean(),
         WeightKind.values()[random.nextInt(4)],
-        0.1,
-        true,
-        millis(1));
+        /* overQuotaWeight= */ 0.1,
+        /* endpointsCacheKeys= */ true,
+        /* clockResolutionNanos= */ millis(1));
   }
 
   private RequestClass randomRequestClass(RequestEffect effect, DeduplicationScope scope) {
@@ -143,28 +143,28 @@
         effect + " " + scope,
         effect,
         scope,
-        millis(50 + random.nextInt(300)),
-        millis(50 + random.nextInt(200)),
-        0,
-        millis(700),
-        1 + random.nextInt(3),
-        0,
-        false);
+        /* deduplicationWindowNanos= */ millis(50 + random.nextInt(300)),
+        /* latencyObjectiveNanos= */ millis(50 + random.nextInt(200)),
+        /* objectiveStretch= */ 0,
+        /* deadlineNanos= */ millis(700),
+        /* priorityWeight= */ 1 + random.nextInt(3),
+        /* lateFraction= */ 0,
+        /* streamed= */ false);
   }
 
   private Limits randomLimits() {
     return new Limits(
-        random.nextBoolean(),
-        false,
-        false,
-        random.nextBoolean(),
-        true,
-        millis(1000),
-        1 + random.nextInt(6),
-        40 + random.nextInt(1000),
-        1,
-        millis(100),
-        millis(5000));
+        /* cancellation= */ random.nextBoolean(),
+        /* healthChecks= */ false,
+        /* peerMessages= */ false,
+        /* hedging= */ random.nextBoolean(),
+        /* retryAfter= */ true,
+        /* maxRetryAfterNanos= */ millis(1000),
+        /* maxAttempts= */ 1 + random.nextInt(6),
+        /* maxOpenRequests= */ 40 + random.nextInt(1000),
+        /* streamsPerConnection= */ 1,
+        /* connectTimeoutNanos= */ millis(100),
+        /* connectionIdleTimeoutNanos= */ millis(5000));
   }
 
   // ---- Events
--- a/src/test/java/loadbalancer/policy/TestSettings.java
+++ b/src/test/java/loadbalancer/policy/TestSettings.java
@@ -34,7 +34,14 @@
       requestClass(RequestEffect.IDEMPOTENT, DeduplicationScope.ALL);
   private List<Tenant> tenants = List.of();
   private ServiceRules serviceRules =
-      new ServiceRules(millis(8), 0, millis(250), 0.3, millis(8000), 3, millis(3000));
+      new ServiceRules(
+          /* responseSlackNanos= */ millis(8),
+          /* maxPollIntervalNanos= */ 0,
+          /* drainGraceNanos= */ millis(250),
+          /* initialCapacityFraction= */ 0.3,
+          /* warmUpNanos= */ millis(8000),
+          /* overloadMultiple= */ 3,
+          /* overloadWindowNanos= */ millis(3000));
   private double crossZoneCost;
   private boolean endpointListPolled;
 
@@ -45,7 +52,16 @@
 
   private static RequestClass requestClass(RequestEffect effect, DeduplicationScope scope) {
     return new RequestClass(
-        REQUEST_CLASS, effect, scope, millis(2000), millis(400), 0, DEADLINE_NANOS, 1, 0, false);
+        REQUEST_CLASS,
+        effect,
+        scope,
+        /* deduplicationWindowNanos= */ millis(2000),
+        /* latencyObjectiveNanos= */ millis(400),
+        /* objectiveStretch= */ 0,
+        DEADLINE_NANOS,
+        /* priorityWeight= */ 1,
+        /* lateFraction= */ 0,
+        /* streamed= */ false);
   }
 
   /** Makes this the settings of one balancer of a group. */
@@ -106,13 +122,23 @@
         List.of(requestClass),
         tenants,
         new Limits(
-            true, false, false, true, true, millis(1000), 4, 10_000, 1, millis(200), millis(5000)),
+            /* cancellation= */ true,
+            /* healthChecks= */ false,
+            /* peerMessages= */ false,
+            /* hedging= */ true,
+            /* retryAfter= */ true,
+            /* maxRetryAfterNanos= */ millis(1000),
+            /* maxAttempts= */ 4,
+            /* maxOpenRequests= */ 10_000,
+            /* streamsPerConnection= */ 1,
+            /* connectTimeoutNanos= */ millis(200),
+            /* connectionIdleTimeoutNanos= */ millis(5000)),
         serviceRules,
         new Costs(crossZoneCost, 0, 0),
         endpointListPolled,
         WeightKind.NONE,
-        0.2,
-        true,
-        millis(1));
+        /* overQuotaWeight= */ 0.2,
+        /* endpointsCacheKeys= */ true,
+        /* clockResolutionNanos= */ millis(1));
   }
 }
