--- a/src/main/java/loadbalancer/config/EndpointList.java
+++ b/src/main/java/loadbalancer/config/EndpointList.java
@@ -8,7 +8,7 @@
 import loadbalancer.policy.event.EndpointStatus;
 
 /** A list of upstreams in discovery's form, whole or only what changed. */
-public record EndpointList(long version, boolean full, List<Host> endpoints) {
+public record EndpointList(long version, boolean full, List<Endpoint> endpoints) {
 
   private static final Map<String, EndpointStatus> STATUS =
       Map.of(
@@ -20,13 +20,13 @@
           EndpointStatus.REMOVED);
 
   /** One upstream: what the module is told of it, and where it listens as this balancer sees it. */
-  public record Host(InetSocketAddress address, EndpointDescriptor descriptor) {}
+  public record Endpoint(InetSocketAddress address, EndpointDescriptor descriptor) {}
 
-  public static EndpointList of(JsonObjectReader list) {
+  public static EndpointList fromJson(JsonObjectReader list) {
     return new EndpointList(
         list.integer("index"),
         list.bool("snapshot", false),
-        list.objects("endpoints").stream().map(EndpointList::host).toList());
+        list.objects("endpoints").stream().map(EndpointList::endpoint).toList());
   }
 
   /** For the log: how much it holds, and not all of it. */
@@ -43,20 +43,20 @@
     return text.toString();
   }
 
-  private static Host host(JsonObjectReader f) {
+  private static Endpoint endpoint(JsonObjectReader f) {
     EndpointDescriptor listed =
         new EndpointDescriptor(
-            idOf(f.text("name")),
+            endpointId(f.text("name")),
             f.text("zone", ""),
             (int) f.integer("group", 0),
             f.word("status", STATUS),
             f.integer("since_ms", 0) * 1_000_000L,
             f.number("weight", 1));
-    return new Host(ProxyConfiguration.address("address", f.text("address")), listed);
+    return new Endpoint(ProxyConfiguration.address("address", f.text("address")), listed);
   }
 
   /** FNV-1a: the same at every balancer and after every restart, so that all agree on the ring. */
-  public static long idOf(String name) {
+  public static long endpointId(String name) {
     long hash = 0xcbf29ce484222325L;
     for (int i = 0; i < name.length(); i++) {
       hash = (hash ^ name.charAt(i)) * 0x100000001b3L;
--- a/src/main/java/loadbalancer/config/ProxyConfiguration.java
+++ b/src/main/java/loadbalancer/config/ProxyConfiguration.java
@@ -40,7 +40,7 @@
         seed(f.text("seed")),
         sockets(f.nested("limits").integer("sockets", 1024)),
         known.has("endpoints")
-            ? EndpointList.of(known)
+            ? EndpointList.fromJson(known)
             : new EndpointList(0, true, java.util.List.of()),
         PolicySettingsReader.read(f.nested("settings")));
   }
--- a/src/main/java/loadbalancer/proxy/coordinator/EndpointListHandler.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/EndpointListHandler.java
@@ -63,7 +63,7 @@
 
   private void notifyPolicy(EndpointListUpdate.Kind kind, EndpointList list) {
     List<EndpointDescriptor> entries =
-        list.endpoints().stream().map(EndpointList.Host::descriptor).toList();
+        list.endpoints().stream().map(EndpointList.Endpoint::descriptor).toList();
     policyEvents.notifyPolicy(new EndpointListUpdate(kind, entries));
   }
 }
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -274,7 +274,7 @@
     }
 
     private void read(String text) throws IOException {
-      EndpointList list = EndpointList.of(JsonObjectReader.parse("list", text));
+      EndpointList list = EndpointList.fromJson(JsonObjectReader.parse("list", text));
       index = list.version();
       heard();
       EventLog.infoRateLimited("discovery: " + list);
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
@@ -128,10 +128,10 @@
   }
 
   private void start(InetSocketAddress self) {
-    List<EndpointList.Host> hosts = new ArrayList<>();
+    List<EndpointList.Endpoint> hosts = new ArrayList<>();
     for (int i = 0; i < UPSTREAMS; i++) {
       hosts.add(
-          new EndpointList.Host(
+          new EndpointList.Endpoint(
               self, new EndpointDescriptor(i, "", 0, EndpointStatus.READY, 0, 1)));
     }
     core.start(new EndpointList(0, true, hosts), on -> {});
--- a/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
+++ b/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
@@ -40,14 +40,14 @@
   }
 
   /** Applies the changed entries of an endpoint list. */
-  public void applyChanges(List<EndpointList.Host> changed) {
+  public void applyChanges(List<EndpointList.Endpoint> changed) {
     changed.forEach(this::apply);
   }
 
   /** Applies a full endpoint list: endpoints that it does not name are removed. */
-  public void applyFullList(List<EndpointList.Host> listed) {
+  public void applyFullList(List<EndpointList.Endpoint> listed) {
     Set<Long> listedIds = new HashSet<>();
-    for (EndpointList.Host host : listed) {
+    for (EndpointList.Endpoint host : listed) {
       listedIds.add(host.descriptor().endpointId());
       apply(host);
     }
@@ -58,7 +58,7 @@
     }
   }
 
-  private void apply(EndpointList.Host host) {
+  private void apply(EndpointList.Endpoint host) {
     EndpointDescriptor descriptor = host.descriptor();
     UpstreamEndpoint endpoint = endpoints.get(descriptor.endpointId());
     if (endpoint == null) {
--- a/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
+++ b/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
@@ -78,7 +78,7 @@
                     loop, new ConnectionLimits(5_000_000_000L, 60_000_000_000L, 100))),
             defects::add);
     server = new DownstreamServer(loop, settings, coordinator, MAX_CONNECTIONS);
-    EndpointList knownEndpoints = EndpointList.of(fields.nested("known"));
+    EndpointList knownEndpoints = EndpointList.fromJson(fields.nested("known"));
     onLoop(
         () -> {
           coordinator.start(knownEndpoints, watch -> {});
@@ -94,12 +94,12 @@
    */
   Future<?> updateEndpoint(int number, FakeHttpServer upstream, EndpointStatus status) {
     EndpointDescriptor descriptor =
-        new EndpointDescriptor(EndpointList.idOf("s-" + number), "a", 1, status, 0, 1);
+        new EndpointDescriptor(EndpointList.endpointId("s-" + number), "a", 1, status, 0, 1);
     return loop.submit(
         () ->
             coordinator.updateEndpoints(
                 new EndpointList(
-                    8, false, List.of(new EndpointList.Host(upstream.address(), descriptor)))));
+                    8, false, List.of(new EndpointList.Endpoint(upstream.address(), descriptor)))));
   }
 
   /** How many client connections are open. */
--- a/src/test/java/loadbalancer/proxy/TestProxy.java
+++ b/src/test/java/loadbalancer/proxy/TestProxy.java
@@ -41,7 +41,7 @@
                 ProxyConfiguration.address("discovery", fields.text("discovery")),
                 1,
                 (int) fields.nested("limits").integer("sockets"),
-                EndpointList.of(fields.nested("known")),
+                EndpointList.fromJson(fields.nested("known")),
                 PolicySettingsReader.read(fields.nested("settings"))),
             () -> {});
     address = server.start();
--- a/src/test/java/loadbalancer/proxy/coordinator/TestCoordinator.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/TestCoordinator.java
@@ -38,7 +38,7 @@
 final class TestCoordinator implements AutoCloseable {
 
   /** The first upstream that the coordinator is started with. */
-  static final long ENDPOINT_ID = EndpointList.idOf("s-0");
+  static final long ENDPOINT_ID = EndpointList.endpointId("s-0");
 
   /** What a test's policy does on an event. */
   interface ScriptedPolicy {
@@ -130,7 +130,7 @@
               coordinator.completeAllRequests();
               defects.add(defect);
             });
-    EndpointList known = EndpointList.of(fields.nested("known"));
+    EndpointList known = EndpointList.fromJson(fields.nested("known"));
     onLoop(() -> coordinator.start(known, enabled -> {}));
   }
 
@@ -203,7 +203,7 @@
   void updateEndpoint(InetSocketAddress address, EndpointStatus status) {
     EndpointDescriptor descriptor = new EndpointDescriptor(ENDPOINT_ID, "a", 1, status, 0, 1);
     coordinator.updateEndpoints(
-        new EndpointList(8, false, List.of(new EndpointList.Host(address, descriptor))));
+        new EndpointList(8, false, List.of(new EndpointList.Endpoint(address, descriptor))));
   }
 
   /** A full list names no upstream any more; to be called on the event loop. */
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -164,7 +164,8 @@
       discovery(server.address(), 60_000);
       EndpointList list = (EndpointList) next();
       assertEquals(8, list.version());
-      assertEquals(EndpointList.idOf("s-{\"]"), list.endpoints().get(0).descriptor().endpointId());
+      assertEquals(
+          EndpointList.endpointId("s-{\"]"), list.endpoints().get(0).descriptor().endpointId());
       assertEquals(9, ((EndpointList) next()).version());
       assertEquals(10, ((EndpointList) next()).version());
       assertTrue(heard.isEmpty());
--- a/src/test/java/loadbalancer/proxy/upstream/EndpointTableTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/EndpointTableTest.java
@@ -30,8 +30,8 @@
           new UpstreamConnectionPools(
               loop, new ConnectionLimits(1_000_000_000L, 60_000_000_000L, 10)));
 
-  private static EndpointList.Host host(long id, EndpointStatus status) {
-    return new EndpointList.Host(
+  private static EndpointList.Endpoint host(long id, EndpointStatus status) {
+    return new EndpointList.Endpoint(
         TestProxy.unreachableAddress(), new EndpointDescriptor(id, "a", 1, status, 0, 1));
   }
 
