--- a/src/main/java/loadbalancer/config/EndpointList.java
+++ b/src/main/java/loadbalancer/config/EndpointList.java
@@ -29,16 +29,17 @@
         list.objects("endpoints").stream().map(EndpointList::endpoint).toList());
   }
 
-  /** For the log: how much it holds, and not all of it. */
-  @Override
-  public String toString() {
-    StringBuilder text =
-        new StringBuilder("version " + version + (full ? ", the whole list" : ", changes"));
-    for (EndpointStatus state : EndpointStatus.values()) {
-      text.append(", ")
-          .append(endpoints.stream().filter(h -> h.descriptor().status() == state).count())
-          .append(' ')
-          .append(state.name().toLowerCase(Locale.ROOT));
+  /** The version and the number of entries by status, as key=value pairs for a log line. */
+  public String summary() {
+    StringBuilder text = new StringBuilder("version=" + version + " full=" + full);
+    for (EndpointStatus status : EndpointStatus.values()) {
+      text.append(' ')
+          .append(status.name().toLowerCase(Locale.ROOT))
+          .append('=')
+          .append(
+              endpoints.stream()
+                  .filter(endpoint -> endpoint.descriptor().status() == status)
+                  .count());
     }
     return text.toString();
   }
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
@@ -8,11 +8,15 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.config.EndpointList;
 import loadbalancer.config.ProxyConfiguration;
 import loadbalancer.policy.AdaptiveLoadBalancingPolicy;
 import loadbalancer.proxy.coordinator.CoordinatorEnvironment;
 import loadbalancer.proxy.coordinator.RequestCoordinator;
 import loadbalancer.proxy.discovery.DiscoveryClient;
+import loadbalancer.proxy.discovery.DiscoveryListener;
+import loadbalancer.proxy.discovery.WatchTarget;
+import loadbalancer.proxy.discovery.WatchTimeouts;
 import loadbalancer.proxy.downstream.DownstreamServer;
 import loadbalancer.proxy.telemetry.EventLog;
 import loadbalancer.proxy.telemetry.EventLoopLag;
@@ -83,12 +87,19 @@
     discovery =
         new DiscoveryClient(
             loop,
-            configuration.discovery(),
-            configuration.known().version(),
-            DiscoveryClient.CALL_MILLIS,
-            DiscoveryClient.SILENCE_MILLIS,
-            core::updateEndpoints,
-            core::endpointWatchFailed);
+            WatchTarget.of(configuration.discovery(), configuration.known().version()),
+            WatchTimeouts.PROTOCOL,
+            new DiscoveryListener() {
+              @Override
+              public void endpointListReceived(EndpointList list) {
+                core.updateEndpoints(list);
+              }
+
+              @Override
+              public void watchFailed() {
+                core.endpointWatchFailed();
+              }
+            });
   }
 
   /**
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -22,6 +22,7 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Supplier;
 import java.util.stream.Stream;
 import loadbalancer.config.EndpointList;
 import loadbalancer.config.JsonObjectReader;
@@ -82,10 +83,13 @@
   }
 
   private DiscoveryClient discovery(
-      InetSocketAddress address, long callMillis, long silenceMillis) {
+      InetSocketAddress address, long firstResponseMillis, long silenceMillis) {
     DiscoveryClient discovery =
         new DiscoveryClient(
-            loop, address, 7, callMillis, silenceMillis, heard::add, () -> heard.add("failed"));
+            loop,
+            WatchTarget.of(address, 7),
+            new WatchTimeouts(firstResponseMillis, silenceMillis),
+            recorder(() -> "failed"));
     loop.execute(() -> discovery.watch(true));
     return discovery;
   }
@@ -93,11 +97,29 @@
   private DiscoveryClient clocked(InetSocketAddress address) {
     DiscoveryClient discovery =
         new DiscoveryClient(
-            clock, address, 7, CALL, SILENCE, heard::add, () -> heard.add("failed"));
+            clock,
+            WatchTarget.of(address, 7),
+            new WatchTimeouts(CALL, SILENCE),
+            recorder(() -> "failed"));
     clock.execute(() -> discovery.watch(true));
     return discovery;
   }
 
+  /** Records each list, and of each failure what {@code failure} makes of it at that moment. */
+  private DiscoveryListener recorder(Supplier<String> failure) {
+    return new DiscoveryListener() {
+      @Override
+      public void endpointListReceived(EndpointList list) {
+        heard.add(list);
+      }
+
+      @Override
+      public void watchFailed() {
+        heard.add(failure.get());
+      }
+    };
+  }
+
   private Object next() throws InterruptedException {
     return heard.poll(30, TimeUnit.SECONDS);
   }
@@ -365,15 +387,15 @@
     long margin = 500;
     long backOff = longestBackOffMillis();
     assertTrue(
-        DiscoveryClient.SILENCE_MILLIS > 2 * heartbeat, "a heartbeat that is late is no silence");
+        WatchTimeouts.SILENCE_MILLIS > 2 * heartbeat, "a heartbeat that is late is no silence");
     assertTrue(
-        DiscoveryClient.CALL_MILLIS > heartbeat,
+        WatchTimeouts.FIRST_RESPONSE_MILLIS > heartbeat,
         "a first heartbeat that takes its time is no failure");
     assertTrue(
-        DiscoveryClient.SILENCE_MILLIS + backOff <= toldAfterSilence - margin,
+        WatchTimeouts.SILENCE_MILLIS + backOff <= toldAfterSilence - margin,
         "silence, back-off " + backOff);
     assertTrue(
-        DiscoveryClient.CALL_MILLIS + backOff <= toldAfterHangup - margin,
+        WatchTimeouts.FIRST_RESPONSE_MILLIS + backOff <= toldAfterHangup - margin,
         "call in vain, back-off " + backOff);
     assertTrue(backOff > 500, "the back-off still grows: " + backOff);
   }
@@ -463,12 +485,9 @@
                 }
                 return new NioSocketChannel();
               },
-              server.address(),
-              7,
-              60_000,
-              60_000,
-              heard::add,
-              () -> heard.add(loop.inEventLoop() ? "failed" : "elsewhere"));
+              WatchTarget.of(server.address(), 7),
+              new WatchTimeouts(60_000, 60_000),
+              recorder(() -> loop.inEventLoop() ? "failed" : "elsewhere"));
       loop.execute(() -> discovery.watch(true));
       assertEquals("failed", next());
       loop.execute(() -> discovery.watch(true));
