--- a/src/main/java/loadbalancer/config/EndpointList.java
+++ b/src/main/java/loadbalancer/config/EndpointList.java
@@ -7,10 +7,16 @@
 import loadbalancer.policy.event.EndpointDescriptor;
 import loadbalancer.policy.event.EndpointStatus;
 
-/** A list of upstreams in discovery's form, whole or only what changed. */
+/**
+ * An endpoint list of the discovery service; immutable.
+ *
+ * @param version of the service's list after this update
+ * @param full whether this is the full list; otherwise it holds the changed entries only
+ * @param endpoints the entries
+ */
 public record EndpointList(long version, boolean full, List<Endpoint> endpoints) {
 
-  private static final Map<String, EndpointStatus> STATUS =
+  private static final Map<String, EndpointStatus> STATUSES =
       Map.of(
           "in_service",
           EndpointStatus.READY,
@@ -19,9 +25,26 @@
           "terminated",
           EndpointStatus.REMOVED);
 
-  /** One upstream: what the module is told of it, and where it listens as this balancer sees it. */
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+
+  /** The parameters of the 64-bit FNV-1a hash function. */
+  private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+
+  private static final long FNV_PRIME = 0x100000001b3L;
+
+  /**
+   * One entry.
+   *
+   * @param address where the endpoint listens, as seen from this proxy
+   * @param descriptor what the policy gets to know of it
+   */
   public record Endpoint(InetSocketAddress address, EndpointDescriptor descriptor) {}
 
+  /**
+   * Reads a list in the form of the discovery service.
+   *
+   * @throws WireFormatException if a field is missing or malformed
+   */
   public static EndpointList fromJson(JsonObjectReader list) {
     return new EndpointList(
         list.integer("index"),
@@ -44,23 +67,26 @@
     return text.toString();
   }
 
-  private static Endpoint endpoint(JsonObjectReader f) {
-    EndpointDescriptor listed =
+  private static Endpoint endpoint(JsonObjectReader entry) {
+    EndpointDescriptor descriptor =
         new EndpointDescriptor(
-            endpointId(f.text("name")),
-            f.text("zone", ""),
-            (int) f.integer("group", 0),
-            f.word("status", STATUS),
-            f.integer("since_ms", 0) * 1_000_000L,
-            f.number("weight", 1));
-    return new Endpoint(ProxyConfiguration.address("address", f.text("address")), listed);
+            endpointId(entry.text("name")),
+            entry.text("zone", ""),
+            (int) entry.integer("group", 0),
+            entry.word("status", STATUSES),
+            entry.integer("since_ms", 0) * NANOS_PER_MILLI,
+            entry.number("weight", 1));
+    return new Endpoint(entry.address("address"), descriptor);
   }
 
-  /** FNV-1a: the same at every balancer and after every restart, so that all agree on the ring. */
+  /**
+   * The number that stands for an endpoint's name: its FNV-1a hash, the same at every proxy and
+   * after every restart, so that all proxies agree on the hash ring.
+   */
   public static long endpointId(String name) {
-    long hash = 0xcbf29ce484222325L;
+    long hash = FNV_OFFSET_BASIS;
     for (int i = 0; i < name.length(); i++) {
-      hash = (hash ^ name.charAt(i)) * 0x100000001b3L;
+      hash = (hash ^ name.charAt(i)) * FNV_PRIME;
     }
     return hash;
   }
--- a/src/main/java/loadbalancer/config/JsonObjectReader.java
+++ b/src/main/java/loadbalancer/config/JsonObjectReader.java
@@ -4,127 +4,144 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
+import java.net.InetSocketAddress;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-
-/** A JSON object of the wire with checked access to its fields. */
+import java.util.Set;
+import java.util.TreeSet;
+
+/**
+ * A JSON object with checked access to its fields. A field that is missing, though required, or of
+ * the wrong type is a {@link WireFormatException} that names it by its path; a field that holds
+ * null counts as absent.
+ */
 public final class JsonObjectReader {
 
   private static final JsonFactory JSON = new JsonFactory();
 
   private final String path;
-  private final Map<?, ?> values;
+  private final Map<String, Object> values;
 
-  JsonObjectReader(String path, Map<?, ?> values) {
+  private JsonObjectReader(String path, Map<String, Object> values) {
     this.path = path;
     this.values = values;
   }
 
-  /** Reads a text that holds one JSON object and nothing else. */
+  /**
+   * Reads a text that holds one JSON object and nothing else.
+   *
+   * @param path the name of the object in messages
+   * @throws IOException if the text is not JSON
+   * @throws WireFormatException if it is empty, no object, or holds more than one value
+   */
   public static JsonObjectReader parse(String path, String text) throws IOException {
     try (JsonParser parser = JSON.createParser(text)) {
       if (parser.nextToken() == null) {
         throw new WireFormatException("expected a " + path + ", got an empty line");
       }
-      Object value = read(parser);
+      Object value = readValue(parser);
       if (parser.nextToken() != null) {
         throw new WireFormatException("expected one value a line, got more");
       }
-      return object(path, value);
-    }
-  }
-
-  /** Reads the value that the parser's current token starts. */
-  static Object read(JsonParser in) throws IOException {
-    JsonToken token = in.currentToken();
-    switch (token) {
-      case START_OBJECT -> {
-        Map<String, Object> object = new LinkedHashMap<>();
-        while (in.nextToken() != JsonToken.END_OBJECT) {
-          String name = in.currentName();
-          in.nextToken();
-          object.put(name, read(in));
-        }
-        return object;
-      }
-      case START_ARRAY -> {
-        List<Object> array = new ArrayList<>();
-        while (in.nextToken() != JsonToken.END_ARRAY) {
-          array.add(read(in));
-        }
-        return array;
-      }
-      case VALUE_STRING -> {
-        return in.getText();
-      }
-      case VALUE_NUMBER_INT -> {
-        if (in.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
-          throw new WireFormatException("number " + in.getText() + " does not fit 64 bits");
-        }
-        return in.getLongValue();
-      }
-      case VALUE_NUMBER_FLOAT -> {
-        return in.getDoubleValue();
-      }
-      case VALUE_TRUE, VALUE_FALSE -> {
-        return in.getBooleanValue();
-      }
-      default -> {
-        return null;
-      }
+      return asObject(path, value);
+    }
+  }
+
+  /** Reads the value that starts at the parser's current token. */
+  private static Object readValue(JsonParser parser) throws IOException {
+    return switch (parser.currentToken()) {
+      case START_OBJECT -> readObject(parser);
+      case START_ARRAY -> readArray(parser);
+      case VALUE_STRING -> parser.getText();
+      case VALUE_NUMBER_INT -> readInteger(parser);
+      case VALUE_NUMBER_FLOAT -> parser.getDoubleValue();
+      case VALUE_TRUE, VALUE_FALSE -> parser.getBooleanValue();
+      default -> null;
+    };
+  }
+
+  private static Map<String, Object> readObject(JsonParser parser) throws IOException {
+    Map<String, Object> object = new LinkedHashMap<>();
+    while (parser.nextToken() != JsonToken.END_OBJECT) {
+      String name = parser.currentName();
+      parser.nextToken();
+      object.put(name, readValue(parser));
+    }
+    return object;
+  }
+
+  private static List<Object> readArray(JsonParser parser) throws IOException {
+    List<Object> array = new ArrayList<>();
+    while (parser.nextToken() != JsonToken.END_ARRAY) {
+      array.add(readValue(parser));
+    }
+    return array;
+  }
+
+  private static Long readInteger(JsonParser parser) throws IOException {
+    if (parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
+      throw new WireFormatException("number " + parser.getText() + " does not fit 64 bits");
     }
+    return parser.getLongValue();
   }
 
-  /** Casts a value to an object, or says what was expected. */
-  public static JsonObjectReader object(String path, Object value) {
+  /** The value as an object: {@link #readObject} makes all maps, so their keys are names. */
+  @SuppressWarnings("unchecked")
+  private static JsonObjectReader asObject(String path, Object value) {
     if (value instanceof Map<?, ?> map) {
-      return new JsonObjectReader(path, map);
+      return new JsonObjectReader(path, (Map<String, Object>) map);
     }
-    throw bad(path, "an object", value);
+    throw unexpected(path, "an object", value);
   }
 
-  private static WireFormatException bad(String path, String expected, Object value) {
+  private static WireFormatException unexpected(String path, String expected, Object value) {
     return new WireFormatException(
-        "field "
-            + path
-            + ": expected "
-            + expected
-            + ", got "
-            + (value == null
-                ? "nothing"
-                : value instanceof String ? "\"" + value + "\"" : value.toString()));
+        "field " + path + ": expected " + expected + ", got " + describe(value));
+  }
+
+  private static String describe(Object value) {
+    if (value == null) {
+      return "nothing";
+    }
+    return value instanceof String ? "\"" + value + "\"" : value.toString();
   }
 
-  private WireFormatException bad(String name, String expected) {
-    return bad(path + "." + name, expected, values.get(name));
+  private WireFormatException unexpected(String name, String expected) {
+    return unexpected(path + "." + name, expected, values.get(name));
   }
 
-  public Map<?, ?> values() {
-    return values;
+  /** The names of all fields, in their order. */
+  public Set<String> fieldNames() {
+    return Collections.unmodifiableSet(values.keySet());
   }
 
+  /** The path of this object in messages. */
   public String path() {
     return path;
   }
 
+  /** Whether the field is there. */
   public boolean has(String name) {
     return values.get(name) != null;
   }
 
-  /** A whole number that has to be there. */
+  /** A required whole number. */
   public long integer(String name) {
     if (values.get(name) instanceof Long number) {
       return number;
     }
-    throw bad(name, "a whole number");
+    throw unexpected(name, "a whole number");
   }
 
+  /** A whole number, or {@code absent} if it is not there. */
   public long integer(String name, long absent) {
     return has(name) ? integer(name) : absent;
   }
 
+  /** A number, or {@code absent} if it is not there. */
   public double number(String name, double absent) {
     if (!has(name)) {
       return absent;
@@ -132,36 +149,48 @@
     if (values.get(name) instanceof Number number) {
       return number.doubleValue();
     }
-    throw bad(name, "a number");
+    throw unexpected(name, "a number");
   }
 
+  /** A required truth value. */
   public boolean bool(String name) {
     if (values.get(name) instanceof Boolean flag) {
       return flag;
     }
-    throw bad(name, "true or false");
+    throw unexpected(name, "true or false");
   }
 
+  /** A truth value, or {@code absent} if it is not there. */
   public boolean bool(String name, boolean absent) {
     return has(name) ? bool(name) : absent;
   }
 
+  /** A required text. */
   public String text(String name) {
     if (values.get(name) instanceof String text) {
       return text;
     }
-    throw bad(name, "a text");
+    throw unexpected(name, "a text");
   }
 
+  /** A text, or {@code absent} if it is not there. */
   public String text(String name, String absent) {
     return has(name) ? text(name) : absent;
   }
 
-  /** A nested object; an empty one where it is absent. */
+  /** A required IP address and port. */
+  public InetSocketAddress address(String name) {
+    return IpSocketAddress.parse(text(name)).orElseThrow(() -> unexpected(name, "ADDRESS:PORT"));
+  }
+
+  /** A required nested object. */
+  public JsonObjectReader object(String name) {
+    return asObject(path + "." + name, values.get(name));
+  }
+
+  /** A nested object, or an empty one if it is not there. */
   public JsonObjectReader nested(String name) {
-    return has(name)
-        ? object(path + "." + name, values.get(name))
-        : new JsonObjectReader(path + "." + name, Map.of());
+    return has(name) ? object(name) : new JsonObjectReader(path + "." + name, Map.of());
   }
 
   /** Whether the field holds the whole number 0. */
@@ -169,42 +198,43 @@
     return values.get(name) instanceof Long number && number == 0;
   }
 
-  /** An array of objects that has to be there. */
+  /** A required array of objects. */
   public List<JsonObjectReader> objects(String name) {
     if (!(values.get(name) instanceof List<?> list)) {
-      throw bad(name, "an array");
+      throw unexpected(name, "an array");
     }
-    List<JsonObjectReader> out = new ArrayList<>(list.size());
+    List<JsonObjectReader> objects = new ArrayList<>(list.size());
     for (int i = 0; i < list.size(); i++) {
-      out.add(object(path + "." + name + "[" + i + "]", list.get(i)));
+      objects.add(asObject(path + "." + name + "[" + i + "]", list.get(i)));
     }
-    return out;
+    return objects;
   }
 
-  /** One of the words; the table maps the wire's words to the module's. */
+  /** A required text that is one of the table's keys; returns the table's value for it. */
   public <T> T word(String name, Map<String, T> words) {
-    T word = words.get(text(name));
-    if (word == null) {
-      throw bad(name, "one of " + new java.util.TreeSet<>(words.keySet()));
+    T value = words.get(text(name));
+    if (value == null) {
+      throw unexpected(name, "one of " + new TreeSet<>(words.keySet()));
     }
-    return word;
+    return value;
   }
 
+  /** A text that is one of the table's keys, or {@code absent} if it is not there. */
   <T> T word(String name, Map<String, T> words, T absent) {
     return has(name) ? word(name, words) : absent;
   }
 
-  /** The numbers of a nested object by name, anything else skipped; empty where it is absent. */
+  /** The numbers of a nested object by name; other values are skipped, absent is empty. */
   public Map<String, Double> numbers(String name) {
     if (!has(name)) {
       return Map.of();
     }
-    Map<String, Double> out = new LinkedHashMap<>();
-    for (Map.Entry<?, ?> entry : nested(name).values.entrySet()) {
+    Map<String, Double> numbers = new LinkedHashMap<>();
+    for (Map.Entry<String, Object> entry : object(name).values.entrySet()) {
       if (entry.getValue() instanceof Number number) {
-        out.put((String) entry.getKey(), number.doubleValue());
+        numbers.put(entry.getKey(), number.doubleValue());
       }
     }
-    return out;
+    return numbers;
   }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
@@ -80,7 +80,9 @@
   private boolean changed() {
     try {
       BasicFileAttributes file =
-          Files.readAttributes(Path.of(environment.get("PROXY_CONFIG")), BasicFileAttributes.class);
+          Files.readAttributes(
+              Path.of(environment.get(ProxyConfiguration.FILE_VARIABLE)),
+              BasicFileAttributes.class);
       List<Object> before = seen;
       seen = Arrays.asList(file.fileKey(), file.lastModifiedTime(), file.size());
       return !seen.equals(before);
@@ -91,7 +93,7 @@
 
   private void read() {
     try {
-      next.accept(ProxyConfiguration.reread(environment));
+      next.accept(ProxyConfiguration.readFileOnly(environment));
     } catch (IOException | RuntimeException e) {
       EventLog.info("reload: the configuration stays as it was: " + e);
     }
--- a/src/main/java/loadbalancer/simulator/SimulatorSession.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorSession.java
@@ -103,8 +103,7 @@
       long nowNanos, long balancer, JsonObjectReader message, JsonGenerator out)
       throws IOException {
     String name = messageName(message);
-    JsonObjectReader fields =
-        JsonObjectReader.object(message.path() + "." + name, message.values().get(name));
+    JsonObjectReader fields = message.object(name);
     if (name.equals("Provision")) {
       policyByBalancer.put(balancer, provision(fields));
       return;
@@ -122,11 +121,11 @@
   }
 
   private static String messageName(JsonObjectReader message) {
-    if (message.values().size() != 1) {
+    if (message.fieldNames().size() != 1) {
       throw new WireFormatException(
-          "field " + message.path() + ": expected one event, got " + message.values().size());
+          "field " + message.path() + ": expected one event, got " + message.fieldNames().size());
     }
-    return (String) message.values().keySet().iterator().next();
+    return message.fieldNames().iterator().next();
   }
 
   private static LoadBalancingPolicy provision(JsonObjectReader fields) {
--- a/src/test/java/loadbalancer/proxy/ProcessTest.java
+++ b/src/test/java/loadbalancer/proxy/ProcessTest.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
-import loadbalancer.config.ProxyConfiguration;
+import loadbalancer.config.IpSocketAddress;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -54,7 +54,7 @@
   }
 
   private static InetSocketAddress servedAt(String line) {
-    return ProxyConfiguration.address("log", line.substring(line.indexOf('/') + 1));
+    return IpSocketAddress.parse(line.substring(line.indexOf('/') + 1)).orElseThrow();
   }
 
   private void start(String configuration, String... variable) throws Exception {
--- a/src/test/java/loadbalancer/proxy/TestProxy.java
+++ b/src/test/java/loadbalancer/proxy/TestProxy.java
@@ -37,8 +37,8 @@
         new ProxyServer(
             new ProxyConfiguration(
                 "n0",
-                ProxyConfiguration.address("listen", fields.text("listen")),
-                ProxyConfiguration.address("discovery", fields.text("discovery")),
+                fields.address("listen"),
+                fields.address("discovery"),
                 1,
                 (int) fields.nested("limits").integer("sockets"),
                 EndpointList.fromJson(fields.nested("known")),
