--- a/src/main/java/loadbalancer/CommandLine.java
+++ b/src/main/java/loadbalancer/CommandLine.java
@@ -4,7 +4,7 @@
 import java.io.InputStream;
 import java.io.PrintStream;
 import loadbalancer.config.WireFormatException;
-import loadbalancer.proxy.lifecycle.ProxyServer;
+import loadbalancer.proxy.lifecycle.ProxyProcess;
 import loadbalancer.simulator.SimulatorSession;
 
 /**
@@ -26,10 +26,10 @@
    */
   public static void main(String[] args) throws IOException, InterruptedException {
     if (isCommand("serve", args)) {
-      System.exit(ProxyServer.serve(System.getenv(), System.err));
+      System.exit(ProxyProcess.serve(System.getenv(), System.err));
     }
     if (isCommand("rehearse", args)) {
-      System.exit(ProxyServer.rehearse(System.getenv()));
+      System.exit(ProxyProcess.rehearse(System.getenv()));
     }
     System.exit(runAdapter(args, System.in, System.out, System.err));
   }
--- a/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
@@ -4,8 +4,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.attribute.BasicFileAttributes;
-import java.util.Arrays;
-import java.util.List;
+import java.nio.file.attribute.FileTime;
 import java.util.Map;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
@@ -17,85 +16,90 @@
 import sun.misc.SignalHandler;
 
 /**
- * SIGHUP: reads the configuration again. Without it Java's answer to that signal is to end, as at
- * SIGTERM.
+ * Reads the configuration file again at each SIGHUP, which would otherwise end the JVM as SIGTERM
+ * does. State and work belong to one thread of its own: the event loop must not wait for a file,
+ * and with several threads an older reading could overtake a newer one.
  */
 final class ConfigurationReloader {
 
   /**
-   * Period of the looks where no signal can come: short against the 1.5 s that discovery's old
-   * address stays.
+   * Period of the polls where SIGHUP is ignored: short against the 1.5 s for which the old address
+   * of the discovery service stays open after a reload.
    */
-  private static final long LOOK_MILLIS = 500;
+  private static final long POLL_PERIOD_MILLIS = 500;
 
   private final Map<String, String> environment;
-  private final Consumer<ProxyConfiguration> next;
+  private final Consumer<ProxyConfiguration> onReload;
 
-  /** What the file was when it was last looked at. */
-  private List<Object> seen = List.of();
+  /** The file's version at the last poll; null before the first. */
+  private FileVersion polledVersion;
+
+  /** What changes when a file is replaced or written. */
+  private record FileVersion(Object fileKey, FileTime modified, long sizeBytes) {}
 
   private ConfigurationReloader(
-      Map<String, String> environment, Consumer<ProxyConfiguration> next) {
+      Map<String, String> environment, Consumer<ProxyConfiguration> onReload) {
     this.environment = environment;
-    this.next = next;
+    this.onReload = onReload;
   }
 
   /**
-   * Hands over a new configuration at each SIGHUP; one that is no good costs a line of the log and
-   * changes nothing. A thread of its own reads the file, since the event loop must not wait for it,
-   * and one alone, or an older reading could overtake a newer one.
+   * Handles SIGHUP from now on. An unusable configuration is logged and changes nothing.
+   *
+   * @param onReload gets each new configuration, on the thread of the reloader
    */
-  static void onHangup(Map<String, String> environment, Consumer<ProxyConfiguration> next) {
-    ConfigurationReloader reload = new ConfigurationReloader(environment, next);
-    ScheduledExecutorService reader =
-        Executors.newSingleThreadScheduledExecutor(
-            work -> {
-              Thread thread = new Thread(work, "reload");
-              thread.setDaemon(true);
-              return thread;
-            });
-    SignalHandler before = Signal.handle(new Signal("HUP"), signal -> reader.execute(reload::read));
-    if (before.equals(SignalHandler.SIG_IGN)) {
-      // Java leaves a signal alone that its parent ignored, as nohup does, and nothing in Java can
-      // change that.
+  static void install(Map<String, String> environment, Consumer<ProxyConfiguration> onReload) {
+    ConfigurationReloader reloader = new ConfigurationReloader(environment, onReload);
+    ScheduledExecutorService executor =
+        Executors.newSingleThreadScheduledExecutor(ConfigurationReloader::newThread);
+    SignalHandler previous =
+        Signal.handle(new Signal("HUP"), signal -> executor.execute(reloader::reload));
+    if (previous.equals(SignalHandler.SIG_IGN)) {
+      // The JVM leaves a signal alone that was ignored at its start, as nohup does.
       EventLog.info(
-          "reload: started with SIGHUP ignored, so the configuration is read again when its file"
-              + " changes");
-      reload.changed();
-      reader.scheduleWithFixedDelay(
-          reload::readIfChanged, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+          "reload: polling started reason=SIGHUP ignored at start period_ms=" + POLL_PERIOD_MILLIS);
+      reloader.detectChange();
+      executor.scheduleWithFixedDelay(
+          reloader::poll, POLL_PERIOD_MILLIS, POLL_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void readIfChanged() {
-    if (changed()) {
-      read();
+  private static Thread newThread(Runnable task) {
+    Thread thread = new Thread(task, "reload");
+    thread.setDaemon(true);
+    return thread;
+  }
+
+  private void poll() {
+    if (detectChange()) {
+      reload();
     }
   }
 
   /**
-   * Whether the file is another one or was written since the last look; one that is missing is on
-   * its way.
+   * Reads the file's version and remembers it; whether it differs from the one before. A missing
+   * file is not a change: it is being replaced.
    */
-  private boolean changed() {
+  private boolean detectChange() {
+    FileVersion previous = polledVersion;
     try {
-      BasicFileAttributes file =
+      BasicFileAttributes attributes =
           Files.readAttributes(
               Path.of(environment.get(ProxyConfiguration.FILE_VARIABLE)),
               BasicFileAttributes.class);
-      List<Object> before = seen;
-      seen = Arrays.asList(file.fileKey(), file.lastModifiedTime(), file.size());
-      return !seen.equals(before);
-    } catch (IOException e) {
+      polledVersion =
+          new FileVersion(attributes.fileKey(), attributes.lastModifiedTime(), attributes.size());
+      return !polledVersion.equals(previous);
+    } catch (IOException missing) {
       return false;
     }
   }
 
-  private void read() {
+  private void reload() {
     try {
-      next.accept(ProxyConfiguration.readFileOnly(environment));
-    } catch (IOException | RuntimeException e) {
-      EventLog.info("reload: the configuration stays as it was: " + e);
+      onReload.accept(ProxyConfiguration.readFileOnly(environment));
+    } catch (IOException | RuntimeException invalid) {
+      EventLog.info("reload: configuration unchanged reason=" + invalid);
     }
   }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
@@ -2,15 +2,14 @@
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioIoHandler;
-import java.io.IOException;
-import java.io.PrintStream;
 import java.net.InetSocketAddress;
-import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.config.EndpointList;
+import loadbalancer.config.IpSocketAddress;
 import loadbalancer.config.ProxyConfiguration;
 import loadbalancer.policy.AdaptiveLoadBalancingPolicy;
+import loadbalancer.policy.settings.PolicySettings;
 import loadbalancer.proxy.coordinator.CoordinatorEnvironment;
 import loadbalancer.proxy.coordinator.RequestCoordinator;
 import loadbalancer.proxy.discovery.DiscoveryClient;
@@ -25,224 +24,185 @@
 import loadbalancer.proxy.upstream.ConnectionLimits;
 import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
-/** One real balancer: the module on sockets, all of it on one event-loop thread. */
+/**
+ * One proxy: the load-balancing policy on sockets. Puts the parts together and starts, reloads and
+ * ends them. All state of the parts belongs to one event-loop thread; the methods here may be
+ * called on any other thread.
+ */
 public final class ProxyServer {
 
   /**
-   * Shares of the sockets for clients and for upstreams; the rest is for discovery and the process
-   * itself.
+   * The fractions of the file descriptors for client and for upstream connections; the rest is for
+   * discovery and the process itself.
    */
-  private static final double CLIENT_SHARE = 0.45;
+  private static final double DOWNSTREAM_SOCKETS_FRACTION = 0.45;
 
-  private static final double UPSTREAM_SHARE = 0.4;
+  private static final double UPSTREAM_SOCKETS_FRACTION = 0.4;
 
-  /**
-   * After SIGTERM new clients still come for 0.4 s, and SIGKILL comes the longest deadline, 3 s at
-   * most, and 0.7 s later: all is answered by a little before that. Clients use the connections
-   * that they have as long as these stay open, and another balancer may be away: until a second
-   * before the end they are served as ever.
-   */
-  private static final long ACCEPT_MILLIS = 500;
-
-  private static final long LONGEST_DEADLINE_MILLIS = 3_000;
-  private static final long END_MILLIS = 500;
-  private static final long LAST_MILLIS = 1_000;
-  private static final long POLL_MILLIS = 10;
-
-  /** Often enough to tell a bad stretch from a good one, and 20,000 lines a day at most. */
-  private static final long REPORT_MILLIS = 5_000;
+  /** Short enough to tell a bad interval from a good one, for 20,000 lines a day at most. */
+  private static final long REPORT_PERIOD_MILLIS = 5_000;
 
   private final EventLoop loop = new MillisecondEventLoop(NioIoHandler.newFactory());
   private final EventLoopLag lag = new EventLoopLag(loop);
   private final ProxyConfiguration configuration;
-  private final Runnable crash;
-  private final RequestCoordinator core;
-  private final DownstreamServer clients;
-  private final String warmUpPath = WarmUp.newPath();
+  private final Runnable endProcess;
+  private final RequestCoordinator coordinator;
+  private final DownstreamServer downstream;
   private final DiscoveryClient discovery;
+  private final String warmUpPath = WarmUp.newPath();
   private final CountDownLatch ready = new CountDownLatch(1);
-  private final CountDownLatch drained = new CountDownLatch(1);
+  private final CountDownLatch shutdownComplete = new CountDownLatch(1);
 
-  /** Makes a balancer; {@code crash} ends the process after a defect of the module. */
-  public ProxyServer(ProxyConfiguration configuration, Runnable crash) {
+  /**
+   * A proxy that has not started.
+   *
+   * @param endProcess ends the process, after a defect of the policy; runs on the event loop
+   */
+  public ProxyServer(ProxyConfiguration configuration, Runnable endProcess) {
     this.configuration = configuration;
-    this.crash = crash;
-    var settings = configuration.settings();
-    UpstreamConnectionPools pool =
+    this.endProcess = endProcess;
+    PolicySettings settings = configuration.settings();
+    UpstreamConnectionPools upstreamPools =
         new UpstreamConnectionPools(
             loop,
             new ConnectionLimits(
                 settings.limits().connectTimeoutNanos(),
                 settings.limits().connectionIdleTimeoutNanos(),
-                (int) (configuration.sockets() * UPSTREAM_SHARE)));
-    core =
+                (int) (configuration.sockets() * UPSTREAM_SOCKETS_FRACTION)));
+    coordinator =
         new RequestCoordinator(
             settings,
             new AdaptiveLoadBalancingPolicy(settings, configuration.seed()),
-            new CoordinatorEnvironment(loop, new EpochClock(), lag, pool),
-            this::defect);
-    clients =
-        new DownstreamServer(loop, settings, core, (int) (configuration.sockets() * CLIENT_SHARE));
-    clients.setWarmUpPath(warmUpPath);
+            new CoordinatorEnvironment(loop, new EpochClock(), lag, upstreamPools),
+            this::handlePolicyDefect);
+    downstream =
+        new DownstreamServer(
+            loop,
+            settings,
+            coordinator,
+            (int) (configuration.sockets() * DOWNSTREAM_SOCKETS_FRACTION));
+    downstream.setWarmUpPath(warmUpPath);
     discovery =
         new DiscoveryClient(
             loop,
             WatchTarget.of(configuration.discovery(), configuration.known().version()),
             WatchTimeouts.PROTOCOL,
-            new DiscoveryListener() {
-              @Override
-              public void endpointListReceived(EndpointList list) {
-                core.updateEndpoints(list);
-              }
-
-              @Override
-              public void watchFailed() {
-                core.endpointWatchFailed();
-              }
-            });
+            new CoordinatorUpdates());
   }
 
-  /**
-   * Runs a balancer until SIGTERM; the exit status, 2 for a configuration or an address that is no
-   * good.
-   */
-  public static int serve(Map<String, String> environment, PrintStream err)
-      throws InterruptedException {
-    ProxyServer node;
-    try {
-      ProxyConfiguration configuration = ProxyConfiguration.read(environment);
-      node = new ProxyServer(configuration, () -> Runtime.getRuntime().halt(1));
-      ConfigurationReloader.onHangup(environment, node::reload);
-      node.start();
-    } catch (IOException | RuntimeException e) {
-      err.println(
-          "configuration: "
-              + String.valueOf(e.getMessage()).replace('\n', ' ')
-              + ": "
-              + e.getClass().getSimpleName());
-      return 2;
+  /** Hands the watch events of discovery to the coordinator, on the event loop. */
+  private final class CoordinatorUpdates implements DiscoveryListener {
+
+    @Override
+    public void endpointListReceived(EndpointList list) {
+      coordinator.updateEndpoints(list);
     }
-    // A hook, since Java's own answer to SIGTERM is to end at once; halt, for its status would be
-    // 143.
-    Runtime.getRuntime()
-        .addShutdownHook(
-            new Thread(
-                () -> {
-                  node.drain();
-                  node.awaitDrained();
-                  Runtime.getRuntime().halt(0);
-                },
-                "drain"));
-    node.awaitDrained();
-    return 0;
-  }
 
-  /** Starts as {@code serve} does and ends once ready: what the class-data archive is made from. */
-  public static int rehearse(Map<String, String> environment)
-      throws IOException, InterruptedException {
-    ProxyServer node =
-        new ProxyServer(ProxyConfiguration.read(environment), () -> Runtime.getRuntime().halt(1));
-    node.start();
-    node.ready.await();
-    return 0;
+    @Override
+    public void watchFailed() {
+      coordinator.endpointWatchFailed();
+    }
   }
 
-  /** Listens and follows the list; the address that clients connect to. */
+  /**
+   * Listens, starts the watch and the warm-up, and returns while these run; not to be called on the
+   * event loop, since it waits for the bind. A failed bind is thrown as it is.
+   *
+   * @return the address that clients connect to
+   */
   public InetSocketAddress start() throws InterruptedException {
-    InetSocketAddress address = clients.listen(configuration.listen());
+    InetSocketAddress address = downstream.listen(configuration.listen());
     loop.execute(
         () -> {
-          core.start(configuration.known(), discovery::watch);
-          // Whatever the settings say of how the list comes: on sockets only one who watches is
-          // told of it.
+          coordinator.start(configuration.known(), discovery::watch);
+          // Whatever list mode the settings name: on sockets a list comes by a watch only.
           discovery.watch(true);
-          WarmUp.run(
-              loop,
-              lag,
-              address,
-              warmUpPath,
-              configuration.settings(),
-              requests -> {
-                EventLog.info("warmed up with " + requests + " requests");
-                clients.setReady();
-                loop.scheduleAtFixedRate(
-                    core::logStatistics, REPORT_MILLIS, REPORT_MILLIS, TimeUnit.MILLISECONDS);
-                EventLog.info(
-                    configuration.name()
-                        + " of zone "
-                        + configuration.settings().zone()
-                        + " serves at "
-                        + address);
-                ready.countDown();
-              });
+          new WarmUp(
+                  loop,
+                  lag,
+                  configuration.settings(),
+                  warmUpPath,
+                  requestCount -> serve(address, requestCount))
+              .start(address);
         });
     return address;
   }
 
+  /** Reports that the proxy is ready, once it has warmed up. */
+  private void serve(InetSocketAddress address, int warmUpRequests) {
+    EventLog.info("lifecycle: warm-up complete requests=" + warmUpRequests);
+    downstream.setReady();
+    loop.scheduleAtFixedRate(
+        coordinator::logStatistics,
+        REPORT_PERIOD_MILLIS,
+        REPORT_PERIOD_MILLIS,
+        TimeUnit.MILLISECONDS);
+    EventLog.info(
+        "lifecycle: serving name="
+            + configuration.name()
+            + " zone="
+            + configuration.settings().zone()
+            + " address="
+            + IpSocketAddress.format(address));
+    ready.countDown();
+  }
+
+  /** Waits until clients are served. */
+  void awaitReady() throws InterruptedException {
+    ready.await();
+  }
+
   /**
-   * Takes over from a new configuration what may change while the balancer runs: the address of
-   * discovery.
+   * Takes over from a new configuration what may change while the proxy runs: the address of the
+   * discovery service.
    */
   void reload(ProxyConfiguration next) {
     loop.execute(
         () -> {
-          EventLog.info(configuration.name() + " reloads: discovery at " + next.discovery());
+          EventLog.info(
+              "reload: configuration loaded name="
+                  + configuration.name()
+                  + " discovery="
+                  + IpSocketAddress.format(next.discovery()));
           discovery.moveTo(next.discovery());
         });
   }
 
-  /** Begins a planned stop: answers what was taken, takes nothing new after a while. */
-  void drain() {
+  /** Starts the graceful shutdown; to be called once. */
+  void shutDown() {
     loop.execute(
         () -> {
-          EventLog.info(configuration.name() + " drains");
-          clients.beginGracefulShutdown();
-          long end =
-              END_MILLIS
-                  + Math.min(
-                      LONGEST_DEADLINE_MILLIS,
-                      configuration.settings().requestClasses().stream()
-                          .mapToLong(c -> TimeUnit.NANOSECONDS.toMillis(c.deadlineNanos()))
-                          .max()
-                          .orElse(0));
-          core.capDeadlines(TimeUnit.MILLISECONDS.toNanos(end));
-          loop.schedule(clients::stopListening, ACCEPT_MILLIS, TimeUnit.MILLISECONDS);
-          loop.schedule(
-              this::endOnceIdle, Math.max(ACCEPT_MILLIS, end - LAST_MILLIS), TimeUnit.MILLISECONDS);
-          loop.schedule(clients::endIncompleteRequests, end, TimeUnit.MILLISECONDS);
+          EventLog.info("lifecycle: shutdown started name=" + configuration.name());
+          new GracefulShutdown(
+                  loop, configuration.settings(), downstream, coordinator, this::completeShutdown)
+              .start();
         });
   }
 
-  private void endOnceIdle() {
-    clients.closeIdleConnections();
-    if (clients.openConnections() == 0) {
-      core.logStatistics();
-      EventLog.info(configuration.name() + " has drained");
-      drained.countDown();
-    } else {
-      loop.schedule(this::endOnceIdle, POLL_MILLIS, TimeUnit.MILLISECONDS);
-    }
+  private void completeShutdown() {
+    coordinator.logStatistics();
+    EventLog.info("lifecycle: shutdown complete name=" + configuration.name());
+    shutdownComplete.countDown();
   }
 
-  void awaitDrained() {
+  /** Waits until the graceful shutdown is complete, or until the calling thread is interrupted. */
+  void awaitShutdown() {
     try {
-      drained.await();
-    } catch (InterruptedException e) {
+      shutdownComplete.await();
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /**
-   * A defect of the module: its word is worth nothing any more, so all that is open is answered
-   * without it.
-   */
-  private void defect(RuntimeException e) {
+  /** Answers all open requests without the policy, whose state is unknown now, and ends. */
+  private void handlePolicyDefect(RuntimeException defect) {
+    StackTraceElement[] trace = defect.getStackTrace();
     EventLog.info(
-        "defect of the module: "
-            + e
-            + " at "
-            + (e.getStackTrace().length == 0 ? "?" : e.getStackTrace()[0]));
-    core.completeAllRequests();
-    crash.run();
+        "lifecycle: policy defect error="
+            + defect
+            + " at="
+            + (trace.length == 0 ? "unknown" : trace[0]));
+    coordinator.completeAllRequests();
+    endProcess.run();
   }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
@@ -15,16 +15,12 @@
 import loadbalancer.policy.AdaptiveLoadBalancingPolicy;
 import loadbalancer.policy.event.EndpointDescriptor;
 import loadbalancer.policy.event.EndpointStatus;
-import loadbalancer.policy.settings.DeduplicationScope;
 import loadbalancer.policy.settings.PolicySettings;
-import loadbalancer.policy.settings.RequestClass;
-import loadbalancer.policy.settings.RequestEffect;
 import loadbalancer.proxy.coordinator.CoordinatorEnvironment;
 import loadbalancer.proxy.coordinator.RequestCoordinator;
 import loadbalancer.proxy.downstream.ClientConnection;
 import loadbalancer.proxy.downstream.DownstreamServer;
 import loadbalancer.proxy.downstream.RequestDecoder;
-import loadbalancer.proxy.http.RequestHeaders;
 import loadbalancer.proxy.telemetry.EventLog;
 import loadbalancer.proxy.telemetry.EventLoopLag;
 import loadbalancer.proxy.transport.EpochClock;
@@ -32,148 +28,108 @@
 import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
 /**
- * Guards the first clients from a cold JVM: before the balancer says that it is up, made-up
- * requests run through all of its code, with a module and a pool of their own, to a path of the
- * balancer's own that nobody else knows.
+ * Runs synthetic requests through the whole proxy before it reports that it is ready, so that the
+ * first clients do not meet a JVM whose classes are not loaded and whose code is not compiled. The
+ * requests have a policy and connection pools of their own, and the proxy itself is their upstream,
+ * at a path that nobody else knows. Belongs to the event loop.
  */
 final class WarmUp {
 
-  static final int REQUESTS = 300;
-  private static final int AT_ONCE = 8;
-  private static final int UPSTREAMS = 3;
-  private static final int KEYS = 50;
+  /** How many requests complete a warm-up. */
+  static final int REQUEST_COUNT = 300;
+
+  private static final int CONCURRENT_CLIENTS = 8;
+  private static final int ENDPOINT_COUNT = 3;
 
   /**
-   * Only for a balancer that cannot reach itself: clients come after 30 s all the same. Slow
-   * progress is no reason to end: on half a core the code is compiled late, and a balancer that is
-   * up before that fails its first clients.
+   * A limit for a proxy that cannot reach itself: clients arrive after 30 s in any case. Slow
+   * progress is no reason to end earlier, since on a fraction of a core the code is compiled late.
    */
-  private static final long LONGEST_NANOS = 20_000_000_000L;
+  private static final long MAX_DURATION_NANOS = 20_000_000_000L;
 
-  private static final long SECOND = 1_000_000_000L;
+  private static final long UPSTREAM_TIMEOUT_NANOS = 1_000_000_000L;
+  private static final long ROUND_PERIOD_MICROS = 1;
 
   private final EventLoop loop;
-  private final String path;
+  private final IntConsumer onComplete;
   private final EpochClock clock = new EpochClock();
-  private final UpstreamConnectionPools pool;
-  private final RequestCoordinator core;
-  private final DownstreamServer side;
-  private final IntConsumer done;
-  private final long endAt = clock.nowNanos() + LONGEST_NANOS;
+  private final WarmUpRequests requests;
+  private final UpstreamConnectionPools upstreamPools;
+  private final RequestCoordinator coordinator;
+  private final DownstreamServer downstream;
+  private final long deadlineNanos = clock.nowNanos() + MAX_DURATION_NANOS;
   private final List<EmbeddedChannel> clients = new ArrayList<>();
-  private int sent;
+  private int sentRequests;
 
   /**
-   * Runs on the loop and tells {@code done} there how many requests it made, after so many or so
-   * long.
+   * A warm-up that has not started.
+   *
+   * @param settings of the proxy
+   * @param path from {@link #newPath}, to which the proxy responds while it warms up
+   * @param onComplete gets the number of requests sent, on the event loop
    */
-  static void run(
+  WarmUp(
       EventLoop loop,
       EventLoopLag lag,
-      InetSocketAddress self,
-      String path,
       PolicySettings settings,
-      IntConsumer done) {
-    new WarmUp(loop, lag, path, settings, done).start(self);
+      String path,
+      IntConsumer onComplete) {
+    this.loop = loop;
+    this.onComplete = onComplete;
+    requests = new WarmUpRequests(path, settings);
+    upstreamPools =
+        new UpstreamConnectionPools(
+            loop,
+            new ConnectionLimits(
+                UPSTREAM_TIMEOUT_NANOS, UPSTREAM_TIMEOUT_NANOS, CONCURRENT_CLIENTS));
+    coordinator =
+        new RequestCoordinator(
+            requests.settings(),
+            new AdaptiveLoadBalancingPolicy(requests.settings(), 0),
+            new CoordinatorEnvironment(loop, clock, lag, upstreamPools),
+            defect -> EventLog.info("lifecycle: policy defect during warm-up error=" + defect));
+    downstream = new DownstreamServer(loop, requests.settings(), coordinator, CONCURRENT_CLIENTS);
   }
 
-  /**
-   * A path that no client can guess: only this process's warm-up is answered without having asked
-   * for a class.
-   */
+  /** A path that no client can guess: requests to it are answered without being checked. */
   static String newPath() {
     return "/" + UUID.randomUUID();
   }
 
-  private WarmUp(
-      EventLoop loop, EventLoopLag lag, String path, PolicySettings real, IntConsumer done) {
-    this.loop = loop;
-    this.path = path;
-    this.done = done;
-    RequestClass type =
-        new RequestClass(
-            path.substring(1),
-            RequestEffect.IDEMPOTENT,
-            DeduplicationScope.ALL,
-            SECOND,
-            SECOND,
-            0,
-            2 * SECOND,
-            1,
-            0,
-            false);
-    PolicySettings settings =
-        new PolicySettings(
-            0,
-            1,
-            real.zone(),
-            List.of(type),
-            real.tenants(),
-            real.limits(),
-            real.serviceRules(),
-            real.costs(),
-            false,
-            real.weightKind(),
-            real.overQuotaWeight(),
-            real.endpointsCacheKeys(),
-            real.clockResolutionNanos());
-    pool = new UpstreamConnectionPools(loop, new ConnectionLimits(SECOND, SECOND, AT_ONCE));
-    core =
-        new RequestCoordinator(
-            settings,
-            new AdaptiveLoadBalancingPolicy(settings, 0),
-            new CoordinatorEnvironment(loop, clock, lag, pool),
-            e -> EventLog.info("defect of the module while warming up: " + e));
-    side = new DownstreamServer(loop, settings, core, AT_ONCE);
-  }
-
-  private void start(InetSocketAddress self) {
-    List<EndpointList.Endpoint> hosts = new ArrayList<>();
-    for (int i = 0; i < UPSTREAMS; i++) {
-      hosts.add(
+  /** Starts to send requests to the proxy, which listens at this address. */
+  void start(InetSocketAddress proxyAddress) {
+    List<EndpointList.Endpoint> endpoints = new ArrayList<>();
+    for (int i = 0; i < ENDPOINT_COUNT; i++) {
+      endpoints.add(
           new EndpointList.Endpoint(
-              self, new EndpointDescriptor(i, "", 0, EndpointStatus.READY, 0, 1)));
+              proxyAddress, new EndpointDescriptor(i, "", 0, EndpointStatus.READY, 0, 1)));
     }
-    core.start(new EndpointList(0, true, hosts), on -> {});
-    for (int i = 0; i < AT_ONCE; i++) {
-      ClientConnection handler = new ClientConnection(side);
+    coordinator.start(new EndpointList(0, true, endpoints), watchEnabled -> {});
+    for (int i = 0; i < CONCURRENT_CLIENTS; i++) {
+      ClientConnection connection = new ClientConnection(downstream);
       clients.add(
-          new EmbeddedChannel(new RequestDecoder(handler), new HttpResponseEncoder(), handler));
+          new EmbeddedChannel(
+              new RequestDecoder(connection), new HttpResponseEncoder(), connection));
     }
-    loop.execute(this::round);
+    loop.execute(this::sendRound);
   }
 
-  private void round() {
-    if (sent >= REQUESTS || clock.nowNanos() > endAt) {
+  /** Sends a request on each idle client connection; comes again until enough were sent. */
+  private void sendRound() {
+    if (sentRequests >= REQUEST_COUNT || clock.nowNanos() > deadlineNanos) {
       clients.forEach(EmbeddedChannel::close);
-      pool.close();
-      done.accept(sent);
+      upstreamPools.close();
+      onComplete.accept(sentRequests);
       return;
     }
     for (EmbeddedChannel client : clients) {
       if (client.pipeline().get(ClientConnection.class).isIdle()) {
         client.releaseOutbound();
-        client.writeInbound(Unpooled.copiedBuffer(request(sent++), StandardCharsets.US_ASCII));
+        client.writeInbound(
+            Unpooled.copiedBuffer(requests.text(sentRequests), StandardCharsets.US_ASCII));
+        sentRequests++;
       }
     }
-    loop.schedule(this::round, 1, TimeUnit.MICROSECONDS);
-  }
-
-  private String request(int number) {
-    var tenants = side.settings().tenants();
-    return "GET "
-        + path
-        + " HTTP/1.1\r\nHost: warm-up\r\n"
-        + RequestHeaders.CORRELATION_ID
-        + ": warm-up-"
-        + number
-        + "\r\nX-Service-Class: "
-        + path.substring(1)
-        + "\r\nX-Session-Key: "
-        + number % KEYS
-        + (tenants.isEmpty() ? "" : "\r\nX-Account: " + tenants.get(number % tenants.size()).name())
-        + "\r\n"
-        + RequestHeaders.TIME_LEFT_MILLIS
-        + ": 1000\r\nX-Weight-Hint: 1000\r\n\r\n";
+    loop.schedule(this::sendRound, ROUND_PERIOD_MICROS, TimeUnit.MICROSECONDS);
   }
 }
--- a/src/test/java/loadbalancer/proxy/ProcessTest.java
+++ b/src/test/java/loadbalancer/proxy/ProcessTest.java
@@ -54,7 +54,8 @@
   }
 
   private static InetSocketAddress servedAt(String line) {
-    return IpSocketAddress.parse(line.substring(line.indexOf('/') + 1)).orElseThrow();
+    return IpSocketAddress.parse(line.substring(line.indexOf(" address=") + " address=".length()))
+        .orElseThrow();
   }
 
   private void start(String configuration, String... variable) throws Exception {
@@ -73,7 +74,7 @@
 
   private InetSocketAddress address() throws Exception {
     for (String line = log.readLine(); line != null; line = log.readLine()) {
-      if (line.contains(" serves at /")) {
+      if (line.contains("lifecycle: serving ")) {
         return servedAt(line);
       }
     }
@@ -109,7 +110,7 @@
         open.send(TestClient.keyedRequest("1", 15_000));
         TestProxy.waitUntil(() -> upstream.requests.size() == 1);
         signal("TERM");
-        awaitLog(" drains");
+        awaitLog("lifecycle: shutdown started");
         assertEquals(
             503,
             idle.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status(),
@@ -168,7 +169,7 @@
           () -> second.requests.size() == 1 && first.connectionsClosedByPeer.get() == 1);
       Files.writeString(file, "{");
       signal("HUP");
-      awaitLog("the configuration stays as it was");
+      awaitLog("reload: configuration unchanged");
       Files.writeString(file, TestProxy.configurationJson(third.address(), 1, upstream));
       signal("HUP");
       TestProxy.waitUntil(
@@ -195,7 +196,7 @@
       log =
           new BufferedReader(
               new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-      awaitLog("reload: started with SIGHUP ignored");
+      awaitLog("reload: polling started reason=SIGHUP ignored");
       address();
       TestProxy.waitUntil(() -> first.requests.size() == 1);
       Files.writeString(file, TestProxy.configurationJson(second.address(), 1));
@@ -248,9 +249,9 @@
               .replace("\"sockets\":1024", "\"sockets\":256"));
       ProcessBuilder builder = program("sh", "-c", "ulimit -n 256; exec \"$0\" \"$@\"");
       process = builder.redirectOutput(folder.resolve("log").toFile()).start();
-      TestProxy.waitUntil(() -> logged().contains(" serves at /"));
+      TestProxy.waitUntil(() -> logged().contains("lifecycle: serving "));
       String serving =
-          logged().lines().filter(l -> l.contains(" serves at /")).findFirst().orElseThrow();
+          logged().lines().filter(l -> l.contains("lifecycle: serving ")).findFirst().orElseThrow();
       InetSocketAddress address = servedAt(serving);
       TestProxy.waitUntil(() -> server.requests.size() == 1);
       List<TestClient> asking = new ArrayList<>();
--- a/src/test/java/loadbalancer/proxy/TestClient.java
+++ b/src/test/java/loadbalancer/proxy/TestClient.java
@@ -8,6 +8,7 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.util.Locale;
 
 /** One client connection that writes any bytes and reads HTTP responses. */
 public final class TestClient implements Closeable {
@@ -39,7 +40,7 @@
     while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
       head.append((char) input.readUnsignedByte());
     }
-    String lower = head.toString().toLowerCase();
+    String lower = head.toString().toLowerCase(Locale.ROOT);
     int lengthStart = lower.indexOf("content-length:") + "content-length:".length();
     int lengthEnd = lower.indexOf('\r', lengthStart);
     byte[] body = new byte[Integer.parseInt(lower.substring(lengthStart, lengthEnd).trim())];
--- a/src/test/java/loadbalancer/proxy/lifecycle/WarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/WarmUpTest.java
@@ -5,6 +5,7 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -13,6 +14,7 @@
 import loadbalancer.config.JsonObjectReader;
 import loadbalancer.config.PolicySettingsReader;
 import loadbalancer.policy.AdaptiveLoadBalancingPolicy;
+import loadbalancer.policy.settings.PolicySettings;
 import loadbalancer.proxy.TestProxy;
 import loadbalancer.proxy.coordinator.CoordinatorEnvironment;
 import loadbalancer.proxy.coordinator.RequestCoordinator;
@@ -24,65 +26,66 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The requests that a balancer makes up for itself before it says that it is up. */
+/** The synthetic requests that a proxy sends to itself before it reports that it is ready. */
 class WarmUpTest {
 
   private static final long STALL_NANOS = 15_000_000L;
 
   private final EventLoop loop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-  private volatile boolean warm;
+  private volatile boolean isWarmedUp;
 
   @AfterEach
   void stop() {
     loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
-  /** As on a core of which others have most. */
-  private void stall() {
+  /** Blocks the event loop again and again, as on a core that other processes use. */
+  private void blockLoopPeriodically() {
     for (long end = System.nanoTime() + STALL_NANOS; System.nanoTime() < end; ) {
       LockSupport.parkNanos(end - System.nanoTime());
     }
-    if (!warm) {
-      loop.schedule(this::stall, 1, TimeUnit.MILLISECONDS);
+    if (!isWarmedUp) {
+      loop.schedule(this::blockLoopPeriodically, 1, TimeUnit.MILLISECONDS);
     }
   }
 
   @Test
-  void slowCoreDoesNotCutTheWarmUpShort() throws Exception {
-    JsonObjectReader f =
+  void warmUpCompletesAllRequestsOnASlowEventLoop() throws Exception {
+    JsonObjectReader fields =
         JsonObjectReader.parse(
             "configuration", TestProxy.configurationJson(TestProxy.unreachableAddress(), 1));
-    var settings = PolicySettingsReader.read(f.nested("settings"));
+    PolicySettings settings = PolicySettingsReader.read(fields.nested("settings"));
     EventLoopLag lag = new EventLoopLag(loop);
     UpstreamConnectionPools pool =
         new UpstreamConnectionPools(
             loop, new ConnectionLimits(1_000_000_000L, 60_000_000_000L, 10));
-    RequestCoordinator core =
+    RequestCoordinator coordinator =
         new RequestCoordinator(
             settings,
             new AdaptiveLoadBalancingPolicy(settings, 1),
             new CoordinatorEnvironment(loop, new EpochClock(), lag, pool),
             defect -> {});
     String path = WarmUp.newPath();
-    DownstreamServer server = new DownstreamServer(loop, settings, core, 100);
+    DownstreamServer server = new DownstreamServer(loop, settings, coordinator, 100);
     server.setWarmUpPath(path);
-    InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0));
-    BlockingQueue<Integer> made = new LinkedBlockingQueue<>();
-    loop.execute(this::stall);
+    InetSocketAddress address =
+        server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    BlockingQueue<Integer> completed = new LinkedBlockingQueue<>();
+    loop.execute(this::blockLoopPeriodically);
     loop.execute(
         () ->
-            WarmUp.run(
-                loop,
-                lag,
-                address,
-                path,
-                settings,
-                requests -> {
-                  warm = true;
-                  made.add(requests);
-                }));
-    int requests = made.poll(60, TimeUnit.SECONDS);
-    assertTrue(requests >= WarmUp.REQUESTS, "made " + requests);
+            new WarmUp(
+                    loop,
+                    lag,
+                    settings,
+                    path,
+                    requestCount -> {
+                      isWarmedUp = true;
+                      completed.add(requestCount);
+                    })
+                .start(address));
+    int requestCount = completed.poll(60, TimeUnit.SECONDS);
+    assertTrue(requestCount >= WarmUp.REQUEST_COUNT, "requests sent: " + requestCount);
   }
 }
