--- /dev/null
+++ b/src/test/java/loadbalancer/proxy/discovery/EndpointListWatchTest.java
@@ -0,0 +1,259 @@
+package loadbalancer.proxy.discovery;
+
+import static loadbalancer.proxy.discovery.FakeDiscovery.RESPONSE_HEAD;
+import static loadbalancer.proxy.discovery.FakeDiscovery.listJson;
+import static loadbalancer.proxy.discovery.FakeDiscovery.writeChunk;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.channel.EventLoop;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.net.SocketTimeoutException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import loadbalancer.config.EndpointList;
+import loadbalancer.proxy.FakeHttpServer;
+import loadbalancer.proxy.TestProxy;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** One watch, against a service that splits its lists, falls silent, fails or never responds. */
+class EndpointListWatchTest {
+
+  private final EventLoop loop =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+  private final RecordingListener listener = new RecordingListener(loop);
+
+  /** Starts a watch with one limit on silence and on the first response. */
+  private DiscoveryClient startWatch(InetSocketAddress address, long silenceMillis) {
+    return startWatch(address, silenceMillis, silenceMillis);
+  }
+
+  private DiscoveryClient startWatch(
+      InetSocketAddress address, long firstResponseMillis, long silenceMillis) {
+    DiscoveryClient discovery =
+        new DiscoveryClient(
+            loop,
+            WatchTarget.of(address, 7),
+            new WatchTimeouts(firstResponseMillis, silenceMillis),
+            listener);
+    loop.execute(() -> discovery.watch(true));
+    return discovery;
+  }
+
+  @AfterEach
+  void stop() {
+    loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+  }
+
+  @Test
+  void listsMayBeSplitAnywhereAndTheNextWatchStartsAtTheLastVersion() throws Exception {
+    try (FakeHttpServer server =
+        new FakeHttpServer(
+            (request, connection, output) -> {
+              FakeHttpServer.write(output, RESPONSE_HEAD);
+              for (char character :
+                  ("\n" + listJson(8, true) + "\n\n" + listJson(9, false)).toCharArray()) {
+                writeChunk(output, String.valueOf(character));
+              }
+              FakeHttpServer.write(output, "0\r\n\r\n");
+            })) {
+      DiscoveryClient discovery = startWatch(server.address(), 60_000);
+      assertEquals(8, ((EndpointList) listener.next()).version());
+      assertEquals(9, ((EndpointList) listener.next()).version());
+      assertEquals("failed", listener.next(), "the response ended");
+      loop.execute(() -> discovery.watch(true));
+      listener.next();
+      assertTrue(
+          server.requests.get(0).startsWith("GET /discovery/hosts?watch=1&after=7 "),
+          server.requests.get(0));
+      assertTrue(
+          server.requests.get(1).startsWith("GET /discovery/hosts?watch=1&after=9 "),
+          server.requests.get(1));
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(strings = {"\n", "\r\n"})
+  void listsMayBeIndentedOverSeveralLines(String end) throws Exception {
+    String first =
+        """
+        {
+          "index": 8,
+          "snapshot": true,
+          "endpoints": [
+            {
+              "name": "s-{\\"]",
+              "address": "127.0.0.1:1",
+
+              "status": "in_service"
+            }
+          ]
+        }
+        """
+            .replace("\n", end);
+    String second = listJson(9, false).replace("{", "{" + end).replace(",", "," + end + "\t");
+    try (FakeHttpServer server =
+        new FakeHttpServer(
+            (request, connection, output) -> {
+              FakeHttpServer.write(output, RESPONSE_HEAD);
+              writeChunk(
+                  output, end + first + second + end + first.replace("8", "10").substring(0, 40));
+              writeChunk(output, first.replace("8", "10").substring(40) + end);
+            })) {
+      startWatch(server.address(), 60_000);
+      EndpointList list = (EndpointList) listener.next();
+      assertEquals(8, list.version());
+      assertEquals(
+          EndpointList.endpointId("s-{\"]"), list.endpoints().get(0).descriptor().endpointId());
+      assertEquals(9, ((EndpointList) listener.next()).version());
+      assertEquals(10, ((EndpointList) listener.next()).version());
+      assertTrue(listener.events.isEmpty());
+    }
+  }
+
+  /** Otherwise heartbeats would keep a watch alive whose list, a drain perhaps, never ends. */
+  @Test
+  void partialListTimesOutAlthoughHeartbeatsContinue() throws Exception {
+    try (FakeHttpServer server =
+        new FakeHttpServer(
+            (request, connection, output) -> {
+              FakeHttpServer.write(output, RESPONSE_HEAD);
+              writeChunk(output, listJson(8, true));
+              writeChunk(output, "{\"index\": 9,\n");
+              while (true) {
+                Thread.sleep(20);
+                writeChunk(output, "\n");
+              }
+            })) {
+      startWatch(server.address(), 1_000);
+      assertEquals(8, ((EndpointList) listener.next()).version());
+      assertEquals("failed", listener.next());
+      TestProxy.waitUntil(() -> server.connectionsClosedByPeer.get() == 1);
+      assertTrue(listener.events.isEmpty());
+    }
+  }
+
+  @Test
+  void silentWatchFailsOnceAndIsClosed() throws Exception {
+    try (FakeHttpServer server =
+        new FakeHttpServer(
+            (request, connection, output) -> FakeHttpServer.write(output, RESPONSE_HEAD))) {
+      startWatch(server.address(), 200);
+      assertEquals("failed", listener.next());
+      TestProxy.waitUntil(() -> server.connectionsClosedByPeer.get() == 1);
+      assertTrue(listener.events.isEmpty());
+    }
+  }
+
+  /** A service that is down: connections open, or a response begins, and nothing follows. */
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "",
+        "HTTP/1.1 200",
+        RESPONSE_HEAD,
+        RESPONSE_HEAD + "1",
+        RESPONSE_HEAD + "12\r\n{\"index\": 8,"
+      })
+  void watchWithoutAFirstResponseFailsBeforeTheSilenceTimeout(String text) throws Exception {
+    try (FakeHttpServer server =
+        new FakeHttpServer((request, connection, output) -> FakeHttpServer.write(output, text))) {
+      startWatch(server.address(), 200, 60_000);
+      assertEquals("failed", listener.next());
+      TestProxy.waitUntil(() -> server.connectionsClosedByPeer.get() == 1);
+      assertTrue(listener.events.isEmpty());
+    }
+  }
+
+  /** The backlog is full, so the connect never completes, as at a machine that vanished. */
+  @Test
+  void watchWhoseConnectNeverCompletesFails() throws Exception {
+    try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      List<Socket> waiting = new ArrayList<>();
+      try {
+        for (int i = 0; i < 10; i++) {
+          waiting.add(new Socket());
+          waiting.get(i).connect(full.getLocalSocketAddress(), 200);
+        }
+      } catch (SocketTimeoutException e) {
+        // Expected: no further connect completes.
+      }
+      startWatch((InetSocketAddress) full.getLocalSocketAddress(), 200, 60_000);
+      assertEquals("failed", listener.next());
+      for (Socket socket : waiting) {
+        socket.close();
+      }
+    }
+  }
+
+  /** Heartbeats behind a partial first list are white space inside it. */
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void partialFirstListTimesOutAlthoughHeartbeatsContinue(boolean withHead) throws Exception {
+    String part = "{\"index\": 8,\n";
+    try (FakeHttpServer server =
+        new FakeHttpServer(
+            (request, connection, output) -> {
+              if (withHead) {
+                FakeHttpServer.write(
+                    output,
+                    RESPONSE_HEAD + Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
+              } else {
+                FakeHttpServer.write(output, RESPONSE_HEAD);
+                Thread.sleep(20);
+                writeChunk(output, part);
+              }
+              while (true) {
+                Thread.sleep(20);
+                writeChunk(output, "\n");
+              }
+            })) {
+      startWatch(server.address(), 500, 60_000);
+      assertEquals("failed", listener.next());
+      TestProxy.waitUntil(() -> server.connectionsClosedByPeer.get() == 1);
+    }
+  }
+
+  @Test
+  void rejectedWatchFails() throws Exception {
+    try (FakeHttpServer server =
+        new FakeHttpServer(
+            (request, connection, output) ->
+                FakeHttpServer.write(output, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
+      startWatch(server.address(), 60_000);
+      assertEquals("failed", listener.next());
+      assertTrue(listener.events.isEmpty());
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(strings = {"{\"index\":}\n", "{\"index\":8}\n", "nonsense\n", "[{]}\n", "}\n"})
+  void malformedListFailsTheWatch(String text) throws Exception {
+    try (FakeHttpServer server =
+        new FakeHttpServer(
+            (request, connection, output) -> {
+              FakeHttpServer.write(output, RESPONSE_HEAD);
+              writeChunk(output, text);
+            })) {
+      startWatch(server.address(), 60_000);
+      assertEquals("failed", listener.next());
+      TestProxy.waitUntil(() -> server.connectionsClosedByPeer.get() == 1);
+      assertTrue(listener.events.isEmpty());
+    }
+  }
+
+  @Test
+  void refusedConnectionFailsTheWatch() throws Exception {
+    startWatch(TestProxy.unreachableAddress(), 60_000);
+    assertEquals("failed", listener.next());
+  }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/proxy/discovery/RecordingListener.java
@@ -0,0 +1,35 @@
+package loadbalancer.proxy.discovery;
+
+import io.netty.channel.EventLoop;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import loadbalancer.config.EndpointList;
+
+/** Records what a watch notifies: each list, and "failed" for a failure on the event loop. */
+final class RecordingListener implements DiscoveryListener {
+
+  /** What was notified and not taken yet. */
+  final BlockingQueue<Object> events = new LinkedBlockingQueue<>();
+
+  private final EventLoop loop;
+
+  RecordingListener(EventLoop loop) {
+    this.loop = loop;
+  }
+
+  /** Takes the next event; null if none comes within 30 s. */
+  Object next() throws InterruptedException {
+    return events.poll(30, TimeUnit.SECONDS);
+  }
+
+  @Override
+  public void endpointListReceived(EndpointList list) {
+    events.add(list);
+  }
+
+  @Override
+  public void watchFailed() {
+    events.add(loop.inEventLoop() ? "failed" : "failed on another thread");
+  }
+}
