--- a/src/main/java/loadbalancer/proxy/coordinator/RequestCompleter.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/RequestCompleter.java
@@ -71,7 +71,7 @@
     if (!requests.complete(request)) {
       return false;
     }
-    EventLog.infoRateLimited(
+    EventLog.warnRateLimited(
         "coordinator: deadline reached without a policy decision request=" + request.id());
     sendWithoutPolicy(request);
     return true;
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -195,7 +195,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      EventLog.infoRateLimited(
+      EventLog.warnRateLimited(
           "upstream: connection error address=" + pool.address() + " cause=" + cause);
     }
     completeAsBroken();
