--- a/src/test/java/loadbalancer/policy/EmbeddingExample.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingExample.java
@@ -25,6 +25,23 @@
 
   /** One balancer, two endpoints, one request; the actions that the proxy is to carry out. */
   static List<Action> firstRequest() {
+    LoadBalancingPolicy policy = new AdaptiveLoadBalancingPolicy(settings(), /* seed= */ 42);
+    List<Action> actions = new ArrayList<>();
+    long nowNanos = millis(5_000);
+    EndpointDescriptor first = new EndpointDescriptor(1, "zone-a", 0, EndpointStatus.READY, 0, 1);
+    EndpointDescriptor second = new EndpointDescriptor(2, "zone-a", 0, EndpointStatus.READY, 0, 1);
+    policy.handle(
+        nowNanos,
+        new EndpointListUpdate(EndpointListUpdate.Kind.CACHED, List.of(first, second)),
+        actions::add);
+    policy.handle(
+        nowNanos,
+        new RequestArrived("r1", "page", null, "user-7", nowNanos + millis(800), 0, false),
+        actions::add);
+    return actions;
+  }
+
+  private static PolicySettings settings() {
     RequestClass page =
         new RequestClass(
             "page",
@@ -59,35 +76,19 @@
             /* warmUpNanos= */ millis(10_000),
             /* overloadMultiple= */ 3,
             /* overloadWindowNanos= */ millis(2000));
-    PolicySettings settings =
-        new PolicySettings(
-            /* instanceIndex= */ 0,
-            /* groupSize= */ 1,
-            "zone-a",
-            List.of(page),
-            /* tenants= */ List.of(),
-            limits,
-            serviceRules,
-            new Costs(/* crossZone= */ 0, /* waste= */ 0, /* lateFailure= */ 0),
-            /* endpointListPolled= */ false,
-            WeightKind.NONE,
-            /* overQuotaWeight= */ 1,
-            /* endpointsCacheKeys= */ false,
-            /* clockResolutionNanos= */ millis(1));
-
-    LoadBalancingPolicy policy = new AdaptiveLoadBalancingPolicy(settings, /* seed= */ 42);
-    List<Action> actions = new ArrayList<>();
-    long nowNanos = millis(5_000);
-    EndpointDescriptor first = new EndpointDescriptor(1, "zone-a", 0, EndpointStatus.READY, 0, 1);
-    EndpointDescriptor second = new EndpointDescriptor(2, "zone-a", 0, EndpointStatus.READY, 0, 1);
-    policy.handle(
-        nowNanos,
-        new EndpointListUpdate(EndpointListUpdate.Kind.CACHED, List.of(first, second)),
-        actions::add);
-    policy.handle(
-        nowNanos,
-        new RequestArrived("r1", "page", null, "user-7", nowNanos + millis(800), 0, false),
-        actions::add);
-    return actions;
+    return new PolicySettings(
+        /* instanceIndex= */ 0,
+        /* groupSize= */ 1,
+        "zone-a",
+        List.of(page),
+        /* tenants= */ List.of(),
+        limits,
+        serviceRules,
+        new Costs(/* crossZone= */ 0, /* waste= */ 0, /* lateFailure= */ 0),
+        /* endpointListPolled= */ false,
+        WeightKind.NONE,
+        /* overQuotaWeight= */ 1,
+        /* endpointsCacheKeys= */ false,
+        /* clockResolutionNanos= */ millis(1));
   }
 }
--- a/src/test/java/loadbalancer/policy/ServiceRulesObserver.java
+++ b/src/test/java/loadbalancer/policy/ServiceRulesObserver.java
@@ -29,8 +29,12 @@
 
   /** An attempt as it was forwarded, with the endpoint as it was listed then. */
   static final class ObservedAttempt {
+    /** Where it was forwarded to. */
     final EndpointDescriptor endpoint;
+
+    /** When it was forwarded. */
     final long forwardedNanos;
+
     private AttemptStatus status;
 
     private ObservedAttempt(EndpointDescriptor endpoint, long forwardedNanos) {
@@ -54,9 +58,15 @@
 
   /** A request, its attempts in forwarding order, and whether it has its final answer. */
   static final class ObservedRequest {
+    /** The id that the request arrived with. */
     final String requestId;
+
+    /** When its client stops waiting. */
     final long deadlineNanos;
+
+    /** Its attempts in forwarding order. */
     final List<ObservedAttempt> attempts = new ArrayList<>();
+
     private final RequestClass requestClass;
     private boolean answered;
 
