--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListWatch.java
@@ -204,7 +204,7 @@
       return;
     }
     end();
-    EventLog.infoRateLimited("discovery: watch failed reason=" + reason);
+    EventLog.warnRateLimited("discovery: watch failed reason=" + reason);
     listener.watchFailed();
   }
 
--- a/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
@@ -56,7 +56,7 @@
         Signal.handle(new Signal("HUP"), signal -> executor.execute(reloader::reload));
     if (previous.equals(SignalHandler.SIG_IGN)) {
       // The JVM leaves a signal alone that was ignored at its start, as nohup does.
-      EventLog.info(
+      EventLog.warn(
           "reload: polling started reason=SIGHUP ignored at start period_ms=" + POLL_PERIOD_MILLIS);
       reloader.detectChange();
       executor.scheduleWithFixedDelay(
@@ -99,7 +99,7 @@
     try {
       onReload.accept(ProxyConfiguration.readFileOnly(environment));
     } catch (IOException | RuntimeException invalid) {
-      EventLog.info("reload: configuration unchanged reason=" + invalid);
+      EventLog.warn("reload: configuration unchanged reason=" + invalid);
     }
   }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
@@ -197,7 +197,7 @@
   /** Answers all open requests without the policy, whose state is unknown now, and ends. */
   private void handlePolicyDefect(RuntimeException defect) {
     StackTraceElement[] trace = defect.getStackTrace();
-    EventLog.info(
+    EventLog.error(
         "lifecycle: policy defect error="
             + defect
             + " at="
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
@@ -87,7 +87,7 @@
             requests.settings(),
             new AdaptiveLoadBalancingPolicy(requests.settings(), 0),
             new CoordinatorEnvironment(loop, clock, lag, upstreamPools),
-            defect -> EventLog.info("lifecycle: policy defect during warm-up error=" + defect));
+            defect -> EventLog.error("lifecycle: policy defect during warm-up error=" + defect));
     downstream = new DownstreamServer(loop, requests.settings(), coordinator, CONCURRENT_CLIENTS);
   }
 
