--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A planned stop, step by step: each client that is owed an answer gets it, and the rest is closed
- * in the end.
+ * The steps of the downstream server's graceful shutdown: complete requests are answered, other
+ * connections are closed.
  */
 class GracefulShutdownTest {
 
-  private static final String LOOK = TestClient.idempotentRequest("1", 20_000, "");
+  private static final String REQUEST = TestClient.idempotentRequest("1", 20_000, "");
 
   private final EventLoop loop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -29,81 +29,82 @@
   }
 
   @Test
-  void keptConnectionIsServedOnUntilTheIdleOnesGo() throws Exception {
+  void openConnectionIsServedUntilIdleConnectionsAreClosed() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestDownstreamServer side = new TestDownstreamServer(loop, event -> {}, upstream);
-      try (TestClient client = new TestClient(side.address)) {
-        side.startDraining();
-        TestClient.Response reply = client.exchange(LOOK);
-        assertEquals("fine", reply.body());
-        assertFalse(reply.head().contains("connection: close"), reply.head());
-        assertEquals("fine", client.exchange(LOOK).body());
-        side.closeIdleConnections();
+      TestDownstreamServer server = new TestDownstreamServer(loop, event -> {}, upstream);
+      try (TestClient client = new TestClient(server.address)) {
+        server.startDraining();
+        TestClient.Response response = client.exchange(REQUEST);
+        assertEquals("fine", response.body());
+        assertFalse(response.head().contains("connection: close"), response.head());
+        assertEquals("fine", client.exchange(REQUEST).body());
+        server.closeIdleConnections();
         assertTrue(client.isClosedByServer());
-        TestProxy.waitUntil(() -> side.openConnections() == 0);
+        TestProxy.waitUntil(() -> server.openConnections() == 0);
       }
     }
   }
 
   @Test
-  void requestThatHasComeInPartIsServedOnceItIsWhole() throws Exception {
+  void incompleteRequestIsServedOnceItIsComplete() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestDownstreamServer side = new TestDownstreamServer(loop, event -> {}, upstream);
-      try (TestClient client = new TestClient(side.address)) {
-        assertEquals("fine", client.exchange(LOOK).body());
-        String order = TestClient.keyedRequest("2", 20_000);
-        client.send(order.substring(0, order.length() - 2));
-        TestProxy.waitUntil(() -> side.partialRequests() == 1);
-        side.closeIdleConnections();
-        TestClient.Response reply = client.exchange(order.substring(order.length() - 2));
-        assertEquals("fine", reply.body());
-        assertTrue(reply.head().contains("connection: close"), reply.head());
+      TestDownstreamServer server = new TestDownstreamServer(loop, event -> {}, upstream);
+      try (TestClient client = new TestClient(server.address)) {
+        assertEquals("fine", client.exchange(REQUEST).body());
+        String requestWithBody = TestClient.keyedRequest("2", 20_000);
+        client.send(requestWithBody.substring(0, requestWithBody.length() - 2));
+        TestProxy.waitUntil(() -> server.partialRequests() == 1);
+        server.closeIdleConnections();
+        TestClient.Response response =
+            client.exchange(requestWithBody.substring(requestWithBody.length() - 2));
+        assertEquals("fine", response.body());
+        assertTrue(response.head().contains("connection: close"), response.head());
         assertTrue(client.isClosedByServer());
       }
     }
   }
 
   @Test
-  void newConnectionMayStillAsk() throws Exception {
+  void newConnectionMayStillSendARequest() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestDownstreamServer side = new TestDownstreamServer(loop, event -> {}, upstream);
-      try (TestClient client = new TestClient(side.address)) {
-        TestProxy.waitUntil(() -> side.openConnections() == 1);
-        side.closeIdleConnections();
-        TestClient.Response reply = client.exchange(LOOK);
-        assertEquals("fine", reply.body());
-        assertTrue(reply.head().contains("connection: close"), reply.head());
+      TestDownstreamServer server = new TestDownstreamServer(loop, event -> {}, upstream);
+      try (TestClient client = new TestClient(server.address)) {
+        TestProxy.waitUntil(() -> server.openConnections() == 1);
+        server.closeIdleConnections();
+        TestClient.Response response = client.exchange(REQUEST);
+        assertEquals("fine", response.body());
+        assertTrue(response.head().contains("connection: close"), response.head());
         assertTrue(client.isClosedByServer());
       }
     }
   }
 
   @Test
-  void inTheEndPartsAreAnsweredSilentOnesClosedAndWhatWasTakenIsServed() throws Exception {
-    CountDownLatch held = new CountDownLatch(1);
+  void incompleteRequestsAreEndedAndThoseInFlightAreCompleted() throws Exception {
+    CountDownLatch responseReleased = new CountDownLatch(1);
     try (FakeHttpServer upstream =
         new FakeHttpServer(
-            (request, connection, out) -> {
-              held.await();
-              FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
+            (request, connection, output) -> {
+              responseReleased.await();
+              FakeHttpServer.write(output, FakeHttpServer.okResponse("fine"));
             })) {
-      TestDownstreamServer side = new TestDownstreamServer(loop, event -> {}, upstream);
-      try (TestClient part = new TestClient(side.address);
-          TestClient silent = new TestClient(side.address);
-          TestClient taken = new TestClient(side.address)) {
-        taken.send(LOOK);
+      TestDownstreamServer server = new TestDownstreamServer(loop, event -> {}, upstream);
+      try (TestClient incomplete = new TestClient(server.address);
+          TestClient silent = new TestClient(server.address);
+          TestClient inFlight = new TestClient(server.address)) {
+        inFlight.send(REQUEST);
         TestProxy.waitUntil(() -> upstream.requests.size() == 1);
-        part.send("GET /look");
-        TestProxy.waitUntil(() -> side.partialRequests() == 1);
-        side.closeIdleConnections();
-        side.closeIncompleteRequests();
-        assertEquals(408, part.readResponse().status());
-        assertTrue(part.isClosedByServer());
+        incomplete.send("GET /look");
+        TestProxy.waitUntil(() -> server.partialRequests() == 1);
+        server.closeIdleConnections();
+        server.closeIncompleteRequests();
+        assertEquals(408, incomplete.readResponse().status());
+        assertTrue(incomplete.isClosedByServer());
         assertTrue(silent.isClosedByServer());
-        held.countDown();
-        assertEquals("fine", taken.readResponse().body());
-        assertTrue(taken.isClosedByServer());
-        TestProxy.waitUntil(() -> side.openConnections() == 0);
+        responseReleased.countDown();
+        assertEquals("fine", inFlight.readResponse().body());
+        assertTrue(inFlight.isClosedByServer());
+        TestProxy.waitUntil(() -> server.openConnections() == 0);
       }
     }
   }
