--- a/src/test/java/loadbalancer/proxy/ProcessDescriptorLimitTest.java
+++ b/src/test/java/loadbalancer/proxy/ProcessDescriptorLimitTest.java
@@ -5,7 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.io.OutputStream;
 import java.net.InetSocketAddress;
+import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -23,6 +25,8 @@
 /** The program as a process with few file descriptors. */
 class ProcessDescriptorLimitTest {
 
+  private static final long HEARTBEAT_MILLIS = 500;
+
   @TempDir private Path folder;
   private TestProcess program;
 
@@ -44,6 +48,16 @@
         Arguments.of((Object) all));
   }
 
+  /** A watch that stands until its connection ends, however long the process takes to start. */
+  private static void watchWithHeartbeats(String request, Socket connection, OutputStream output)
+      throws Exception {
+    FakeHttpServer.write(output, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    while (!connection.isClosed()) {
+      FakeHttpServer.write(output, "1\r\n\n\r\n");
+      Thread.sleep(HEARTBEAT_MILLIS);
+    }
+  }
+
   /** Idle clients and upstreams at their limits together, and a discovery that ends each watch. */
   @ParameterizedTest
   @MethodSource("crowds")
@@ -61,7 +75,8 @@
                 FakeHttpServer.write(output, FakeHttpServer.okResponse("fine"));
               });
     }
-    try (FakeHttpServer discovery = new FakeHttpServer(silentWatch)) {
+    try (FakeHttpServer discovery =
+        new FakeHttpServer(ProcessDescriptorLimitTest::watchWithHeartbeats)) {
       Files.writeString(
           program.configurationFile(),
           TestProxy.configurationJson(discovery.address(), 1, upstreams)
