--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -60,7 +60,7 @@
 
   /**
    * Watches the list at another address from now on. The watch there starts at once, however long
-   * the policy would still back off after a failure of the old address; it asks for the full list,
+   * the policy would still back off after a failure of the old address; it requests the full list,
    * since versions of one service mean nothing to another.
    */
   public void moveTo(InetSocketAddress address) {
--- a/src/main/java/loadbalancer/proxy/discovery/WatchTarget.java
+++ b/src/main/java/loadbalancer/proxy/discovery/WatchTarget.java
@@ -7,7 +7,7 @@
  * Where to watch the endpoint list and from which version on; immutable.
  *
  * @param address of the discovery service
- * @param version the last version received from there; empty asks for the full list
+ * @param version the last version received from there; empty requests the full list
  */
 public record WatchTarget(InetSocketAddress address, OptionalLong version) {
 
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
@@ -39,7 +39,7 @@
 
   private static final double UPSTREAM_SOCKETS_FRACTION = 0.4;
 
-  /** Short enough to tell a bad interval from a good one, for 20,000 lines a day at most. */
+  /** Short enough to show a disturbance of seconds, at under 20,000 lines a day. */
   private static final long REPORT_PERIOD_MILLIS = 5_000;
 
   private final EventLoop loop = new MillisecondEventLoop(NioIoHandler.newFactory());
@@ -194,7 +194,7 @@
     }
   }
 
-  /** Answers all open requests without the policy, whose state is unknown now, and ends. */
+  /** Completes all open requests without the policy, whose state is unknown now, and ends. */
   private void handlePolicyDefect(RuntimeException defect) {
     StackTraceElement[] trace = defect.getStackTrace();
     EventLog.error(
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
@@ -28,10 +28,10 @@
 import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
 /**
- * Runs synthetic requests through the whole proxy before it reports that it is ready, so that the
- * first clients do not meet a JVM whose classes are not loaded and whose code is not compiled. The
- * requests have a policy and connection pools of their own, and the proxy itself is their upstream,
- * at a path that nobody else knows. Belongs to the event loop.
+ * Runs synthetic requests through all parts of the proxy before it reports that it is ready, so
+ * that the first clients do not meet a JVM whose classes are not loaded and whose code is not
+ * compiled. The requests have a policy and connection pools of their own, and the proxy itself is
+ * their upstream, at a path that nobody else knows. Belongs to the event loop.
  */
 final class WarmUp {
 
--- a/src/test/java/loadbalancer/proxy/ProcessTest.java
+++ b/src/test/java/loadbalancer/proxy/ProcessTest.java
@@ -114,7 +114,7 @@
     }
   }
 
-  /** Otherwise reloads would be lost, and with them the address that drains come from. */
+  /** Otherwise reloads would be lost, and with them the address of the discovery service. */
   @Test
   void fileIsPolledWhereSighupIsIgnoredAtStart() throws Exception {
     try (FakeHttpServer first = new FakeHttpServer((request, connection, output) -> {});
