--- a/src/main/java/loadbalancer/simulator/SimulatorSession.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorSession.java
@@ -129,12 +129,8 @@
   }
 
   private static LoadBalancingPolicy provision(JsonObjectReader fields) {
-    if (!fields.has("boot-info")) {
-      throw new WireFormatException(
-          "field " + fields.path() + ".boot-info: expected an object, got nothing");
-    }
     return new AdaptiveLoadBalancingPolicy(
-        PolicySettingsReader.read(fields.nested("boot-info")), fields.integer("seed"));
+        PolicySettingsReader.read(fields.object("boot-info")), fields.integer("seed"));
   }
 
   /** Writes the policy's actions, or the fault message where it throws: that is a defect of it. */
--- a/src/test/java/loadbalancer/simulator/SimulatorSessionTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorSessionTest.java
@@ -127,6 +127,10 @@
             + " | expected a whole",
         "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"HealthResult\":{\"upstream\":1,\"rc\":\"fine\"}}]}]}"
             + " | rc: expected one of",
+        "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{}]}]} | msgs[0]: expected one"
+            + " event, got 0",
+        "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"Provision\":{\"seed\":1}}]}]}"
+            + " | Provision.boot-info: expected an object, got nothing",
         "{\"clock-ns\":1,\"groups\":[]} {} | expected one value a line"
       })
   void malformedInputIsReportedWithLineAndField(String line, String message) {
