--- a/src/main/java/loadbalancer/policy/AdaptiveLoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/policy/AdaptiveLoadBalancingPolicy.java
@@ -22,9 +22,7 @@
 import loadbalancer.policy.event.AttemptCompleted;
 import loadbalancer.policy.event.AttemptStatus;
 import loadbalancer.policy.event.ClientDisconnected;
-import loadbalancer.policy.event.EndpointDescriptor;
 import loadbalancer.policy.event.EndpointListUpdate;
-import loadbalancer.policy.event.EndpointStatus;
 import loadbalancer.policy.event.Event;
 import loadbalancer.policy.event.RequestArrived;
 import loadbalancer.policy.event.ResponseStarted;
@@ -33,7 +31,6 @@
 import loadbalancer.policy.settings.PolicySettings;
 import loadbalancer.policy.settings.RequestClass;
 import loadbalancer.policy.settings.RequestEffect;
-import loadbalancer.policy.settings.WeightKind;
 
 /**
  * Every decision of a balancer; its interface is in Balancer.java. Ordinary path: {@link #admit}
@@ -45,12 +42,6 @@
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1000 * MS;
 
-  /**
-   * The window in longest aims, a second at least: long enough for a mean, short enough to see it
-   * change.
-   */
-  private static final double WINDOW_AIMS = 2;
-
   /** The line, in parts of the class's aim: half an aim is healthy, one and a half critical. */
   private static final double MIN_VALUE = 0.5;
 
@@ -97,23 +88,9 @@
   /** Bounded load: an upstream may hold half more than the mean of in-flight requests. */
   private static final double SLACK = 0.5;
 
-  /**
-   * Bounded load also counts in-flight time over this long: hundreds of balancers with hardly one
-   * request out each are bound by nothing, and all would crowd the same keys' upstreams.
-   */
-  private static final long HISTORY = 10 * SECOND;
-
+  /** The history may be this much above its mean. */
   private static final double HISTORY_SLACK = 1;
 
-  /**
-   * Mean of in-flight requests an upstream under which the view is sparse and history counts. A
-   * failed or full attempt counts this many aims: a crowded upstream rests, a failing one does not
-   * look idle.
-   */
-  private static final double SPARSE = 0.12;
-
-  private static final double FAILED_AIMS = 4;
-
   /** A key goes to this many upstreams, and to this many times its share of all as well. */
   private static final int KEY_SPREAD = 2;
 
@@ -168,15 +145,6 @@
   /** A hinted request counts for this many mean ones at most, and no less than its inverse. */
   private static final double HINT_MOST = 4;
 
-  /**
-   * Ring points of an upstream of ordinary weight: within some 15% of an even spread, the bound
-   * does more. A weight counts for this many times the median at most, and no less than its
-   * inverse.
-   */
-  private static final int POINTS = 50;
-
-  private static final double WEIGHT_MOST = 4;
-
   /**
    * Period of the sweep while requests are held: short against any aim, long against a tick. And
    * while attempts are out, in parts of the shortest aim: a timer costs as much as a request.
@@ -223,7 +191,8 @@
   private final Map<String, RequestClass> classes = new HashMap<>();
   private final Map<String, Double> quotas = new HashMap<>();
   private final Map<String, TokenBucket> quotaTokens = new HashMap<>();
-  private final Map<Long, Endpoint> upstreams = new LinkedHashMap<>();
+  private final EndpointRegistry registry;
+  private final InFlightTime inFlightTime;
   private final Map<String, PendingRequest> open = new LinkedHashMap<>();
 
   /** Requests without an attempt out, the most valuable first, then the oldest. */
@@ -237,16 +206,9 @@
   private final SlidingWindow fleet;
   private final SlidingWindow within;
   private final SlidingWindow over;
-  private final SlidingWindow busy = new SlidingWindow(HISTORY, 0);
-  private double usualLatency;
-  private double nearPart;
   private double usualInFlight = 1;
   private double usualSends;
-  private HashRing ring = new HashRing(List.of(), u -> 0);
-  private int ready;
-  private double readyLoad;
   private double usualHint;
-  private double weightUnit;
   private long visits;
   private double retryTokens = 1;
   private double hedgeTokens = HEDGE_MOST;
@@ -271,21 +233,14 @@
     settings
         .tenants()
         .forEach(t -> quotas.put(t.name(), t.quotaPerSecond() / settings.groupSize()));
-    shortestAim =
-        settings.requestClasses().stream()
-            .mapToLong(RequestClass::latencyObjectiveNanos)
-            .min()
-            .getAsLong();
-    long longest =
-        settings.requestClasses().stream()
-            .mapToLong(RequestClass::latencyObjectiveNanos)
-            .max()
-            .getAsLong();
-    window = Math.max(SECOND, (long) (WINDOW_AIMS * longest));
+    LatencyObjectives objectives = LatencyObjectives.of(settings.requestClasses());
+    shortestAim = objectives.shortestNanos();
+    window = objectives.statisticsWindowNanos();
+    registry = new EndpointRegistry(settings, objectives, random);
+    inFlightTime = new InFlightTime(objectives.shortestNanos() / 2.0);
     fleet = new SlidingWindow(window, REACH, 0);
     within = new SlidingWindow(window, REACH, 0);
     over = new SlidingWindow(window, REACH, 0);
-    usualLatency = shortestAim / 2.0;
   }
 
   @Override
@@ -419,7 +374,9 @@
         allowedRate(mean, MIN_VALUE * early, MAX_VALUE * early, maxRate, maxRate * MIN_PART);
     // Guards work inside a quota from what this balancer did not cause: no more is out than while
     // healthy.
-    boolean idle = quotaTokens.containsKey(r.request.tenant()) && readyLoad < usualInFlight * ready;
+    boolean idle =
+        quotaTokens.containsKey(r.request.tenant())
+            && registry.readyLoad() < usualInFlight * registry.readyCount();
     double admitted = own.totalWithLookback(now, Metric.ADMITTED, ENOUGH);
     // What it admits is all that the line learns from: it is never shut for longer than a mean
     // takes.
@@ -476,78 +433,51 @@
   // ---- Placement: bounded-load hashing on a ring of ready upstreams
   // -------------------------------------
 
-  private void rebuildRing() {
-    List<Endpoint> members =
-        upstreams.values().stream()
-            .filter(u -> u.listed.status() == EndpointStatus.READY)
-            .sorted(Comparator.comparingLong(u -> u.id))
-            .toList();
-    ready = members.size();
-    readyLoad = members.stream().mapToDouble(u -> u.load).sum();
-    // Guards a zone left with few upstreams: near ones get no more traffic than the zone is of the
-    // fleet.
-    long near = members.stream().filter(this::near).count();
-    long zones = members.stream().map(u -> u.listed.zone()).distinct().count();
-    nearPart = Math.min(1.0 / Math.max(1, near), (double) zones / Math.max(1, ready));
-    if (weightUnit == 0 && ready > 0) {
-      // Kept for life, so that a change of the list moves the changed upstream's keys only.
-      weightUnit =
-          members.stream().mapToDouble(u -> u.listed.weight()).sorted().toArray()[ready / 2];
-    }
-    boolean sized =
-        settings.weightKind() == WeightKind.NOMINAL || settings.weightKind() == WeightKind.ROUGH;
-    ring =
-        new HashRing(
-            members,
-            u ->
-                Math.round(
-                    POINTS
-                        * (!sized || weightUnit <= 0
-                            ? 1
-                            : Math.min(
-                                WEIGHT_MOST,
-                                Math.max(1 / WEIGHT_MOST, u.listed.weight() / weightUnit)))));
-  }
-
   /**
    * The first upstream from the key's place on the ring that may take it, own zone first; or null.
    */
   private Endpoint place(PendingRequest r) {
-    int start = ring.positionOf(r.request.key() == null ? "" + random.nextLong() : r.request.key());
-    double all = busy.total(now, Metric.LATENCY) / usualLatency + 1;
-    double nearMost = Math.ceil((1 + HISTORY_SLACK) * all * nearPart);
-    double awayMost = Math.ceil((1 + HISTORY_SLACK) * all / Math.max(1, ready));
+    int start =
+        registry
+            .ring()
+            .positionOf(r.request.key() == null ? "" + random.nextLong() : r.request.key());
+    double all = inFlightTime.recentAttempts(now) + 1;
+    double nearMost = Math.ceil((1 + HISTORY_SLACK) * all * registry.localEndpointFraction());
+    double awayMost = Math.ceil((1 + HISTORY_SLACK) * all / Math.max(1, registry.readyCount()));
     // Guards against keys that leave their warm upstreams in a crowd: each move is work, and so
     // more crowd.
     double part =
         r.windows.key().total(now, Metric.OFFERED) / Math.max(1, fleet.total(now, Metric.OFFERED));
     double most =
         sparse() || !settings.endpointsCacheKeys()
-            ? ready
-            : KEY_SPREAD + Math.ceil(KEY_PARTS * ready * part);
+            ? registry.readyCount()
+            : KEY_SPREAD + Math.ceil(KEY_PARTS * registry.readyCount() * part);
     Endpoint startingAway = null;
     Endpoint away = null;
     Endpoint crowded = null;
     visits++;
-    for (int i = 0, seen = 0, tried = 0; seen < ready && tried < most; i++) {
-      Endpoint u = ring.ownerAt(start + i);
-      boolean again = u.visit == visits;
-      u.visit = visits;
+    for (int i = 0, seen = 0, tried = 0; seen < registry.readyCount() && tried < most; i++) {
+      Endpoint u = registry.ring().ownerAt(start + i);
+      boolean again = u.lastWalk == visits;
+      u.lastWalk = visits;
       seen += again ? 0 : 1;
       if (!again && mayGoTo(r, u) && usable(u)) {
-        boolean hasRoom = u.load < bound(u);
-        double taken = u.busy.total(now, Metric.LATENCY) / usualLatency + 0.5;
+        boolean hasRoom = u.load() < bound(u);
+        double taken = inFlightTime.recentAttempts(u, now) + 0.5;
         boolean inSlowStart = warmth(u) < 1;
         boolean fits =
-            hasRoom && (inSlowStart || !sparse() || taken < (near(u) ? nearMost : awayMost));
-        if (near(u) && fits && (!inSlowStart || mayTake(u))) {
+            hasRoom
+                && (inSlowStart
+                    || !sparse()
+                    || taken < (registry.isLocal(u) ? nearMost : awayMost));
+        if (registry.isLocal(u) && fits && (!inSlowStart || mayTake(u))) {
           return u;
         }
-        tried += near(u) ? 1 : 0;
+        tried += registry.isLocal(u) ? 1 : 0;
         // Asked last: one that earned a send and then was not needed would have saved it for a
         // burst.
         startingAway =
-            inSlowStart && fits && !near(u) && startingAway == null && away == null
+            inSlowStart && fits && !registry.isLocal(u) && startingAway == null && away == null
                 ? u
                 : startingAway;
         away = away == null && fits && !inSlowStart ? u : away;
@@ -560,11 +490,7 @@
   }
 
   private boolean sparse() {
-    return busy.total(now, Metric.LATENCY) < SPARSE * ready * HISTORY;
-  }
-
-  private boolean near(Endpoint u) {
-    return settings.costs().crossZone() == 0 || u.listed.zone().equals(settings.zone());
+    return inFlightTime.isSparse(registry.readyCount(), now);
   }
 
   private boolean usable(Endpoint u) {
@@ -572,7 +498,9 @@
   }
 
   private double bound(Endpoint u) {
-    return Math.min(Math.max(1, Math.ceil((1 + SLACK) * (readyLoad + 1) / ready)), room(u));
+    return Math.min(
+        Math.max(1, Math.ceil((1 + SLACK) * (registry.readyLoad() + 1) / registry.readyCount())),
+        room(u));
   }
 
   /**
@@ -601,10 +529,10 @@
    * once: seen so much later.
    */
   private boolean silent(Endpoint u) {
-    double gap = u.window.mean(now, 1) / Math.max(1, u.inFlight);
+    double gap = u.window.mean(now, 1) / Math.max(1, u.inFlight());
     double own =
         u.window.total(now, Metric.LOCAL_DELAY) / Math.max(1, u.window.total(now, Metric.SAMPLES));
-    return u.inFlight > 0
+    return u.inFlight() > 0
         && gap > 0
         && now - u.heardAt
             > Math.max(SILENT_GAPS * gap, SILENT_PART * shortestAim) + SILENT_OWN * own;
@@ -615,14 +543,14 @@
 
   private boolean mayGoTo(PendingRequest r, Endpoint u) {
     for (Attempt a : r.attempts) {
-      if (a.endpoint == u && (a.isInFlight || ready > r.attempts.size())) {
+      if (a.endpoint == u && (a.isInFlight || registry.readyCount() > r.attempts.size())) {
         return false;
       }
       if (a.mayHaveRun && r.requestClass.effect() != RequestEffect.IDEMPOTENT) {
         // The window is cut by a tick, against a balancer that carries the sending out a moment
         // later.
         if (r.requestClass.effect() == RequestEffect.NOT_IDEMPOTENT
-            || !r.requestClass.deduplicationScope().covers(a.endpoint.listed, u.listed)
+            || !r.requestClass.deduplicationScope().covers(a.endpoint.descriptor(), u.descriptor())
             || now - a.forwardedAtNanos
                 >= r.requestClass.deduplicationWindowNanos() - settings.clockResolutionNanos()) {
           return false;
@@ -645,8 +573,9 @@
   /** The part of its capacity that an upstream surely has: from cold-from, evenly, to the whole. */
   private double warmth(Endpoint u) {
     double part =
-        Math.max(0, now - u.started) / (double) Math.max(1, settings.serviceRules().warmUpNanos());
-    return u.started <= 0 || part >= 1
+        Math.max(0, now - u.startedAtNanos())
+            / (double) Math.max(1, settings.serviceRules().warmUpNanos());
+    return u.startedAtNanos() <= 0 || part >= 1
         ? 1
         : settings.serviceRules().initialCapacityFraction() * (1 - part) + part;
   }
@@ -678,7 +607,11 @@
    * wait for traffic to be allowed any.
    */
   private double slowStartTokens(Endpoint u) {
-    double usual = usualSends * (near(u) ? nearPart : 1.0 / Math.max(1, ready));
+    double usual =
+        usualSends
+            * (registry.isLocal(u)
+                ? registry.localEndpointFraction()
+                : 1.0 / Math.max(1, registry.readyCount()));
     double rate = Math.max(SLOW_START_TRICKLE / settings.groupSize(), warmth(u) * usual);
     double seconds = SLOW_START_BURST * settings.serviceRules().overloadWindowNanos() / SECOND;
     return u.slowStart.refill(now, rate, Math.max(slowStartPart(u), rate * seconds));
@@ -704,7 +637,7 @@
       send(r, u);
     } else if (over
         || first && now >= r.arrivedAtNanos + HOLD_PART * r.requestClass.latencyObjectiveNanos()
-        || !first && ready == 0) {
+        || !first && registry.readyCount() == 0) {
       finish(r);
     } else {
       held.add(r);
@@ -715,16 +648,12 @@
   }
 
   private void send(PendingRequest r, Endpoint u) {
-    r.attempts.add(new Attempt(u, now, usualLatency * r.load));
-    u.busy.add(now, Metric.LATENCY, usualLatency * r.load);
-    busy.add(now, Metric.LATENCY, usualLatency * r.load);
+    r.attempts.add(new Attempt(u, now, inFlightTime.charge(u, r.load, now)));
     r.inFlight++;
-    u.heardAt = u.inFlight == 0 ? now : u.heardAt;
-    u.inFlight++;
-    u.load += r.load;
+    u.heardAt = u.inFlight() == 0 ? now : u.heardAt;
+    registry.attemptStarted(u, r.load);
     u.onTrial = u.ejections > 0;
     u.slowStartEarned -= warmth(u) < 1 ? r.load : 0;
-    readyLoad += r.load;
     out.accept(new ForwardAttempt(r.request.requestId(), u.id, r.request.deadlineNanos() - now));
     watch(r);
   }
@@ -783,17 +712,10 @@
     Attempt a = r.attempts.get(o.attempt());
     a.isInFlight = false;
     a.mayHaveRun = !o.status().provesNotRun();
-    a.endpoint.inFlight--;
-    a.endpoint.load -= a.endpoint.inFlight == 0 ? a.endpoint.load : r.load;
+    registry.attemptCompleted(a.endpoint, r.load);
     a.endpoint.heardAt = now;
     r.inFlight--;
-    readyLoad -= a.endpoint.listed.status() == EndpointStatus.READY ? r.load : 0;
-    double least =
-        o.status() == AttemptStatus.SERVED || o.foundStaleConnection()
-            ? 0
-            : FAILED_AIMS * r.requestClass.latencyObjectiveNanos();
-    a.endpoint.busy.add(now, Metric.LATENCY, Math.max(least, o.latencyNanos()) - a.chargedNanos);
-    busy.add(now, Metric.LATENCY, Math.max(least, o.latencyNanos()) - a.chargedNanos);
+    inFlightTime.settle(a, r.requestClass, o, now);
     learn(r, a, o);
     if (r.isFinal && r.inFlight == 0) {
       open.remove(o.requestId());
@@ -823,7 +745,7 @@
       u.window.add(now, Metric.LATENCY, r.load * o.latencyNanos());
       u.window.add(now, Metric.LOCAL_DELAY, r.load * ours);
       sample(r, (double) (now - r.arrivedAtNanos - ours) / r.requestClass.latencyObjectiveNanos());
-      usualLatency += (o.latencyNanos() - usualLatency) * USUAL_STEP;
+      inFlightTime.recordLatency(o.latencyNanos());
     } else if (o.foundStaleConnection()) {
       // No sign of the upstream: kept connections break in a row, and three would eject one that is
       // well.
@@ -874,20 +796,19 @@
     sweptAt = now;
     if (fleet.mean(now, ENOUGH) <= MIN_VALUE) {
       usualInFlight +=
-          (readyLoad / Math.max(1, ready) - usualInFlight) * past / (USUAL_WINDOWS * window);
+          (registry.readyLoad() / Math.max(1, registry.readyCount()) - usualInFlight)
+              * past
+              / (USUAL_WINDOWS * window);
     }
     usualSends =
         Math.max(
             usualSends * (1 - past / SENDS_KEPT),
             fleet.total(now, Metric.ADMITTED) * SECOND / window);
     long bad =
-        upstreams.values().stream()
-            .filter(
-                u ->
-                    u.listed.status() == EndpointStatus.READY
-                        && (u.ejectedUntil > now || silent(u)))
+        registry.endpoints().stream()
+            .filter(u -> u.isReady() && (u.ejectedUntil > now || silent(u)))
             .count();
-    panic = bad > PANIC_SHARE * ready;
+    panic = bad > PANIC_SHARE * registry.readyCount();
     for (PendingRequest r : List.copyOf(open.values())) {
       if (r.inFlight > 0 && !r.isFinal && !r.isStreaming) {
         if (now >= r.request.deadlineNanos() + settings.serviceRules().responseSlackNanos() / 2) {
@@ -925,43 +846,6 @@
     } else if (settings.endpointListPolled()) {
       out.accept(new WatchEndpoints(true));
     }
-    Map<Long, EndpointDescriptor> entries = new LinkedHashMap<>();
-    news.entries().forEach(e -> entries.put(e.endpointId(), e));
-    if (news.kind() != EndpointListUpdate.Kind.DELTA) {
-      // One that is absent from a full list is gone.
-      upstreams.forEach(
-          (id, u) ->
-              entries.putIfAbsent(
-                  id,
-                  new EndpointDescriptor(
-                      id,
-                      u.listed.zone(),
-                      u.listed.deduplicationCell(),
-                      EndpointStatus.REMOVED,
-                      u.started,
-                      u.listed.weight())));
-    }
-    for (EndpointDescriptor e : entries.values()) {
-      Endpoint u =
-          upstreams.computeIfAbsent(
-              e.endpointId(),
-              id ->
-                  new Endpoint(
-                      id, new SlidingWindow(window / 2, now), new SlidingWindow(HISTORY, now)));
-      if (e.startedNanos() > u.started) {
-        u.started = e.startedNanos();
-        u.failures = 0;
-        u.ejections = 0;
-        u.ejectedUntil = 0;
-        u.slowStart.reset(now);
-        // Or balancers alike would all reach their first send at the same time.
-        u.slowStartEarned = random.nextDouble();
-      }
-      u.listed = e;
-    }
-    rebuildRing();
-    upstreams
-        .values()
-        .removeIf(u -> u.listed.status() == EndpointStatus.REMOVED && u.inFlight == 0);
+    registry.apply(news, now);
   }
 }
