--- a/src/main/java/loadbalancer/policy/Endpoint.java
+++ b/src/main/java/loadbalancer/policy/Endpoint.java
@@ -6,29 +6,23 @@
 /**
  * One endpoint, with what this balancer has observed of it. The descriptor and the counts of what
  * is in flight are written through {@link EndpointRegistry}; each other part belongs to the class
- * that it is named for.
+ * that its comment names.
  */
 final class Endpoint {
   /** The endpoint's number in the endpoint list. */
   final long id;
 
   /** What its served attempts showed. */
-  final SlidingWindow window;
+  final ResponseStatistics responses;
 
   /** Its part of {@link InFlightTime}. */
   final SlidingWindow inFlightTime;
 
-  final TokenBucket slowStart = new TokenBucket();
+  /** What {@link OutlierDetector} knows of it. */
+  final OutlierDetector.State outlierState = new OutlierDetector.State();
 
-  /** The part of a send that requests for it have earned while it is cold. */
-  double slowStartEarned;
-
-  long firstServed;
-  long heardAt;
-  int failures;
-  int ejections;
-  long ejectedUntil;
-  boolean onTrial;
+  /** What {@link SlowStart} keeps for it. */
+  final SlowStart.State slowStartState = new SlowStart.State();
 
   /** The last walk of the hash ring that came by; belongs to {@link BoundedLoadPlacement}. */
   long lastWalk;
@@ -39,9 +33,9 @@
   private double load;
 
   /** An endpoint that was not heard of before. */
-  Endpoint(long id, SlidingWindow window, SlidingWindow inFlightTime) {
+  Endpoint(long id, ResponseStatistics responses, SlidingWindow inFlightTime) {
     this.id = id;
-    this.window = window;
+    this.responses = responses;
     this.inFlightTime = inFlightTime;
   }
 
--- a/src/main/java/loadbalancer/policy/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/policy/EndpointRegistry.java
@@ -140,16 +140,13 @@
             id ->
                 new Endpoint(
                     id,
-                    new SlidingWindow(responseWindowNanos, nowNanos),
+                    new ResponseStatistics(responseWindowNanos, nowNanos),
                     InFlightTime.newWindow(nowNanos)));
     if (descriptor.startedNanos() > endpoint.startedAtNanos()) {
       endpoint.restart(descriptor.startedNanos());
-      endpoint.failures = 0;
-      endpoint.ejections = 0;
-      endpoint.ejectedUntil = 0;
-      endpoint.slowStart.reset(nowNanos);
-      // Or balancers alike would all reach their first send at the same time.
-      endpoint.slowStartEarned = random.nextDouble();
+      endpoint.outlierState.reset();
+      // Random, or balancers alike would all forward their first attempt at the same time.
+      endpoint.slowStartState.reset(random.nextDouble(), nowNanos);
     }
     endpoint.describe(descriptor);
   }
--- a/src/test/java/loadbalancer/policy/LatencyRateLimiterTest.java
+++ b/src/test/java/loadbalancer/policy/LatencyRateLimiterTest.java
@@ -15,7 +15,7 @@
 class LatencyRateLimiterTest {
 
   private static double publishedAllowedRate(double meanMillis) {
-    return AdaptiveLoadBalancingPolicy.allowedRate(meanMillis, 300, 18_000, 240, 4);
+    return new LatencyRateLimiter(300, 18_000).allowedRate(meanMillis, 240, 4);
   }
 
   @Test
--- a/src/test/java/loadbalancer/policy/TrafficStatisticsTest.java
+++ b/src/test/java/loadbalancer/policy/TrafficStatisticsTest.java
@@ -16,7 +16,7 @@
       driver.requestArrives(driver.nextRequestId(), "once-" + i);
       driver.advanceCompletingAttempts(millis(10), AttemptStatus.SERVED, millis(5));
     }
-    int windows = driver.policy().windowsKept();
+    int windows = driver.policy().trackedWindows();
     assertTrue(windows < 300, "a window's length holds 100 of these keys, windows: " + windows);
   }
 }
--- a/src/test/java/loadbalancer/simulator/SimulatorSessionTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorSessionTest.java
@@ -104,8 +104,8 @@
     assertTrue(
         replies.contains(
             reply(
-                "{\"Emit\":{\"note-text\":\"refused a request of unknown class nope\"}},"
-                    + "{\"Decline\":{\"rid\":\"c:a\",\"not-before-for-ns\":0}}")),
+                "{\"Emit\":{\"note-text\":\"admission: request rejected reason=unknown_class"
+                    + " class=nope\"}},{\"Decline\":{\"rid\":\"c:a\",\"not-before-for-ns\":0}}")),
         replies);
   }
 
