--- a/src/main/java/loadbalancer/policy/BoundedLoadPlacement.java
+++ b/src/main/java/loadbalancer/policy/BoundedLoadPlacement.java
@@ -117,7 +117,7 @@
       if (!isLocal || fit == Fit.ABOVE_HISTORY) {
         fallbacks.add(endpoint, fit);
       } else if (fit == Fit.WITHIN_BOUNDS
-          || fit == Fit.WARMING_UP && slowStart.tryAcquire(endpoint, nowNanos)) {
+          || (fit == Fit.WARMING_UP && slowStart.tryAcquire(endpoint, nowNanos))) {
         return endpoint;
       }
       if (isLocal) {
--- a/src/main/java/loadbalancer/policy/ConcurrencyLimit.java
+++ b/src/main/java/loadbalancer/policy/ConcurrencyLimit.java
@@ -31,8 +31,8 @@
     ResponseStatistics responses = endpoint.responses;
     long sinceFirstServed = nowNanos - responses.firstServedNanos();
     if (responses.firstServedNanos() == 0
-        || sinceFirstServed < statisticsWindowNanos / 4
-            && responses.served(nowNanos) < TrafficStatistics.MIN_SAMPLES) {
+        || (sinceFirstServed < statisticsWindowNanos / 4
+            && responses.served(nowNanos) < TrafficStatistics.MIN_SAMPLES)) {
       return Double.MAX_VALUE;
     }
     long servingNanos =
--- a/src/main/java/loadbalancer/policy/HashRing.java
+++ b/src/main/java/loadbalancer/policy/HashRing.java
@@ -26,7 +26,7 @@
     for (int m = 0; m < members.size(); m++) {
       long end = count + pointsOf.applyAsLong(members.get(m));
       for (int i = 0; count < end; i++) {
-        unsorted[count++] = mix(mix(members.get(m).id) + i) & -OWNER_INDEXES | m;
+        unsorted[count++] = (mix(mix(members.get(m).id) + i) & -OWNER_INDEXES) | m;
       }
     }
     Arrays.sort(unsorted);
--- a/src/main/java/loadbalancer/policy/InFlightTime.java
+++ b/src/main/java/loadbalancer/policy/InFlightTime.java
@@ -61,7 +61,8 @@
     if (completed.status() != AttemptStatus.SERVED && !completed.foundStaleConnection()) {
       minNanos = FAILURE_CHARGE_IN_OBJECTIVES * requestClass.latencyObjectiveNanos();
     }
-    double differenceNanos = Math.max(minNanos, completed.latencyNanos()) - attempt.chargedNanos;
+    double differenceNanos =
+        Math.max(minNanos, (double) completed.latencyNanos()) - attempt.chargedNanos;
     attempt.endpoint.inFlightTime.add(nowNanos, Metric.LATENCY, differenceNanos);
     fleet.add(nowNanos, Metric.LATENCY, differenceNanos);
   }
--- a/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -75,9 +75,9 @@
   /** Whether requests may be forwarded to the endpoint. */
   boolean isUsable(Endpoint endpoint, long nowNanos) {
     return isPanic
-        || !isEjected(endpoint, nowNanos)
+        || (!isEjected(endpoint, nowNanos)
             && !endpoint.outlierState.isHalfOpenTrial
-            && !isUnresponsive(endpoint, nowNanos);
+            && !isUnresponsive(endpoint, nowNanos));
   }
 
   /**
--- a/src/main/java/loadbalancer/policy/RequestLifecycle.java
+++ b/src/main/java/loadbalancer/policy/RequestLifecycle.java
@@ -26,9 +26,6 @@
  * sweep.
  */
 final class RequestLifecycle {
-  /** How long a request waits for its first attempt; a rejection then is still early. */
-  private static final double MAX_QUEUE_TIME_IN_OBJECTIVES = 0.3;
-
   /** Bounds the work of one completed attempt while no endpoint has capacity. */
   private static final int MAX_FUTILE_PLACEMENTS = 4;
 
@@ -68,6 +65,7 @@
     queue = new RequestQueue(settings.overQuotaWeight());
   }
 
+  /** Admits and forwards a request, or rejects it. */
   void requestArrived(RequestArrived request, long nowNanos, Consumer<Action> actions) {
     RequestClass requestClass = requestClasses.get(request.className());
     if (requestClass == null) {
@@ -92,6 +90,7 @@
     advance(pending, nowNanos, actions);
   }
 
+  /** Cancels the attempts of a request whose client left; no answer is owed any more. */
   void clientDisconnected(ClientDisconnected disconnected, Consumer<Action> actions) {
     PendingRequest pending = pendingRequests.get(disconnected.requestId());
     if (pending != null && !pending.isFinal) {
@@ -99,6 +98,7 @@
     }
   }
 
+  /** Notes that a streamed response has started: the request has no deadline any more. */
   void responseStarted(ResponseStarted started) {
     PendingRequest pending = pendingRequests.get(started.requestId());
     if (pending != null) {
@@ -181,12 +181,9 @@
   }
 
   private boolean mayWait(PendingRequest pending, boolean isRetry, long nowNanos) {
-    if (isRetry) {
-      return parts.registry.readyCount() > 0;
-    }
-    double maxQueueNanos =
-        MAX_QUEUE_TIME_IN_OBJECTIVES * pending.requestClass.latencyObjectiveNanos();
-    return nowNanos < pending.arrivedAtNanos + maxQueueNanos;
+    return isRetry
+        ? parts.registry.readyCount() > 0
+        : RequestQueue.mayAwaitFirstAttempt(pending, nowNanos);
   }
 
   private void forward(
@@ -202,6 +199,7 @@
     scheduleInFlightSweep(pending, nowNanos, actions);
   }
 
+  /** Records a completed attempt, then retries, completes or gives up its request. */
   void attemptCompleted(AttemptCompleted completed, long nowNanos, Consumer<Action> actions) {
     PendingRequest pending = pendingRequests.get(completed.requestId());
     if (pending == null || !pending.isInFlight(completed.attempt())) {
--- a/src/main/java/loadbalancer/policy/RequestQueue.java
+++ b/src/main/java/loadbalancer/policy/RequestQueue.java
@@ -9,6 +9,9 @@
  * the oldest first among these. {@link AdaptiveLoadBalancingPolicy} adds and removes them.
  */
 final class RequestQueue {
+  /** How long a request waits for its first attempt; a rejection then is still early. */
+  private static final double MAX_QUEUE_TIME_IN_OBJECTIVES = 0.3;
+
   private final double overQuotaWeight;
   private final TreeSet<PendingRequest> requests =
       new TreeSet<>(
@@ -29,6 +32,13 @@
     return pending.requestClass.priorityWeight() * (pending.isOverQuota() ? overQuotaWeight : 1);
   }
 
+  /** Whether a request that was never forwarded may go on waiting. */
+  static boolean mayAwaitFirstAttempt(PendingRequest pending, long nowNanos) {
+    double maxQueueNanos =
+        MAX_QUEUE_TIME_IN_OBJECTIVES * pending.requestClass.latencyObjectiveNanos();
+    return nowNanos < pending.arrivedAtNanos + maxQueueNanos;
+  }
+
   /** Adds a request; does nothing if it waits already. */
   void add(PendingRequest pending) {
     requests.add(pending);
--- a/src/main/java/loadbalancer/policy/RetrySafety.java
+++ b/src/main/java/loadbalancer/policy/RetrySafety.java
@@ -66,7 +66,7 @@
     RequestClass requestClass = pending.requestClass;
     return requestClass.effect() == RequestEffect.IDEMPOTENT
         || !pending.mayHaveRun()
-        || requestClass.effect() == RequestEffect.IDEMPOTENT_WITH_KEY
-            && requestClass.deduplicationScope() == DeduplicationScope.ALL;
+        || (requestClass.effect() == RequestEffect.IDEMPOTENT_WITH_KEY
+            && requestClass.deduplicationScope() == DeduplicationScope.ALL);
   }
 }
--- a/src/main/java/loadbalancer/policy/SlidingWindow.java
+++ b/src/main/java/loadbalancer/policy/SlidingWindow.java
@@ -10,6 +10,7 @@
  * <p>Reading advances the window to the time of the reading. Times are nanoseconds on one clock
  * that never goes back.
  */
+@SuppressWarnings("EnumOrdinal") // A metric is an index: the windows are the hot path.
 final class SlidingWindow {
 
   /** What a window counts. */
--- a/src/main/java/loadbalancer/policy/event/AttemptCompleted.java
+++ b/src/main/java/loadbalancer/policy/event/AttemptCompleted.java
@@ -28,6 +28,7 @@
     implements Event {
 
   /** An attempt whose connection was not found stale. */
+  @SuppressWarnings("checkstyle:ParameterNumber") // The components of the record.
   public AttemptCompleted(
       String requestId,
       int attempt,
