--- a/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -9,7 +9,7 @@
 /**
  * Decides which arriving requests are admitted, by the {@link LatencyRateLimiter}: a request is
  * rejected once its window admitted as many as the mean latency allows. Called by {@link
- * AdaptiveLoadBalancingPolicy} once for each request that is not rejected for lack of memory.
+ * RequestLifecycle} once for each request, unless too many requests are pending already.
  *
  * <p>Work over a quota has its own limiter, with earlier latencies: a tenant that sends too much is
  * throttled before others notice it.
--- a/src/main/java/loadbalancer/policy/BoundedLoadPlacement.java
+++ b/src/main/java/loadbalancer/policy/BoundedLoadPlacement.java
@@ -7,7 +7,7 @@
  * Chooses the endpoint of an attempt by consistent hashing with bounded loads (Mirrokni, Thorup and
  * Zadimoghaddam, 2016): the first endpoint on the key's walk of the hash ring whose load is below
  * its bound, so that a key keeps its endpoints and none is crowded. Endpoints of the local zone
- * come first. Called by {@link AdaptiveLoadBalancingPolicy} for each attempt.
+ * come first. Called by {@link RequestLifecycle} for each attempt.
  */
 final class BoundedLoadPlacement {
 
--- a/src/main/java/loadbalancer/policy/PendingRequest.java
+++ b/src/main/java/loadbalancer/policy/PendingRequest.java
@@ -7,7 +7,7 @@
 
 /**
  * A request between its arrival and the completion of its last attempt, which may be later than its
- * final answer. {@link AdaptiveLoadBalancingPolicy} is the only writer.
+ * final answer. {@link RequestLifecycle} is the only writer.
  */
 final class PendingRequest {
   /** The request as it arrived. */
--- a/src/main/java/loadbalancer/policy/RequestQueue.java
+++ b/src/main/java/loadbalancer/policy/RequestQueue.java
@@ -6,7 +6,7 @@
 
 /**
  * The requests that wait for an endpoint with capacity: those of the highest priority weight first,
- * the oldest first among these. {@link AdaptiveLoadBalancingPolicy} adds and removes them.
+ * the oldest first among these. {@link RequestLifecycle} adds and removes them.
  */
 final class RequestQueue {
   /** How long a request waits for its first attempt; a rejection then is still early. */
--- a/src/main/java/loadbalancer/policy/RetryBudget.java
+++ b/src/main/java/loadbalancer/policy/RetryBudget.java
@@ -4,8 +4,8 @@
 
 /**
  * The retry budget, as in Finagle: retries may add only a fraction to the admitted requests, so
- * that failures do not multiply the load that caused them. {@link AdaptiveLoadBalancingPolicy} asks
- * it before each retry.
+ * that failures do not multiply the load that caused them. {@link RequestLifecycle} asks it before
+ * each retry.
  */
 final class RetryBudget {
   private static final double TOKENS_PER_ADMITTED_REQUEST = 0.2;
