--- a/src/main/java/loadbalancer/policy/AdaptiveLoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/policy/AdaptiveLoadBalancingPolicy.java
@@ -68,7 +68,7 @@
     double elapsedNanos = Math.min(NANOS_PER_SECOND, nowNanos - lastSweepNanos);
     lastSweepNanos = nowNanos;
     parts.admission.updateHealthyLoad(elapsedNanos, nowNanos);
-    parts.slowStart.updateUsualRate(elapsedNanos, nowNanos);
+    parts.slowStart.updateRecentRate(elapsedNanos, nowNanos);
     parts.outlierDetector.updatePanic(nowNanos);
     requests.sweep(nowNanos, actions);
     if (watchBackoff.takeDueWatch(nowNanos)) {
--- a/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -30,7 +30,7 @@
 
   private static final double PANIC_THRESHOLD = 0.5;
 
-  /** Unresponsive: silent for this many of the usual gaps between its responses... */
+  /** Unresponsive: silent for this many of the mean gaps between its responses... */
   private static final double UNRESPONSIVE_GAPS = 8;
 
   /** ...and at least for this fraction of the shortest latency objective... */
@@ -86,13 +86,13 @@
    * that dies is noticed later.
    */
   boolean isUnresponsive(Endpoint endpoint, long nowNanos) {
-    double usualGapNanos =
+    double meanGapNanos =
         endpoint.responses.meanLatencyNanos(nowNanos) / Math.max(1, endpoint.inFlight());
     double localDelayNanos = endpoint.responses.meanLocalDelayNanos(nowNanos);
     return endpoint.inFlight() > 0
-        && usualGapNanos > 0
+        && meanGapNanos > 0
         && nowNanos - endpoint.outlierState.lastHeardNanos
-            > Math.max(UNRESPONSIVE_GAPS * usualGapNanos, minSilenceNanos)
+            > Math.max(UNRESPONSIVE_GAPS * meanGapNanos, minSilenceNanos)
                 + LOCAL_DELAY_ALLOWANCE * localDelayNanos;
   }
 
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -9,9 +9,9 @@
  * that the service's rules allow.
  *
  * <p>A token bucket for each endpoint bounds what it is forwarded, by its capacity and by what a
- * warm endpoint usually gets. Each request that would be forwarded to it takes a part of a token,
- * and an attempt is forwarded once whole parts are together. With whole tokens, a hundred balancers
- * could each save one in a lull and forward a hundred requests at once.
+ * warm endpoint gets on average. Each request that would be forwarded to it takes a part of a
+ * token, and an attempt is forwarded once whole parts are together. With whole tokens, a hundred
+ * balancers could each save one in a lull and forward a hundred requests at once.
  *
  * <p>Called by {@link BoundedLoadPlacement}.
  */
@@ -25,8 +25,8 @@
    */
   private static final double MIN_ATTEMPTS_PER_SECOND = 2;
 
-  /** The decay of the usual rate: longer than most outages. */
-  private static final long USUAL_RATE_DECAY_NANOS = 30_000_000_000L;
+  /** The decay of the recent rate: longer than most outages. */
+  private static final long RATE_DECAY_NANOS = 30_000_000_000L;
 
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
@@ -36,7 +36,7 @@
   private final double minAttemptsPerSecond;
 
   /** Requests that this balancer admits in a second; falls slowly when traffic stops. */
-  private double usualRequestsPerSecond;
+  private double recentRequestsPerSecond;
 
   /** What slow start keeps for one endpoint. */
   static final class State {
@@ -104,7 +104,7 @@
 
   private double refill(Endpoint endpoint, long nowNanos) {
     double warmEndpointRate =
-        usualRequestsPerSecond
+        recentRequestsPerSecond
             * (registry.isLocal(endpoint)
                 ? registry.localEndpointFraction()
                 : 1.0 / Math.max(1, registry.readyCount()));
@@ -119,14 +119,14 @@
   }
 
   /**
-   * Lets the usual rate follow the present one: up at once, down slowly.
+   * Lets the recent rate follow the present one: up at once, down slowly.
    *
    * @param elapsedNanos the time since the last call
    */
-  void updateUsualRate(double elapsedNanos, long nowNanos) {
+  void updateRecentRate(double elapsedNanos, long nowNanos) {
     double presentRate =
         traffic.fleetTotal(Metric.ADMITTED, nowNanos) * NANOS_PER_SECOND / traffic.windowNanos();
-    usualRequestsPerSecond =
-        Math.max(usualRequestsPerSecond * (1 - elapsedNanos / USUAL_RATE_DECAY_NANOS), presentRate);
+    recentRequestsPerSecond =
+        Math.max(recentRequestsPerSecond * (1 - elapsedNanos / RATE_DECAY_NANOS), presentRate);
   }
 }
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -7,47 +7,15 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.netty.channel.ChannelException;
-import io.netty.channel.EventLoop;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.NioIoHandler;
 import io.netty.channel.socket.nio.NioSocketChannel;
-import java.net.InetSocketAddress;
-import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import loadbalancer.config.EndpointList;
 import loadbalancer.proxy.FakeHttpServer;
 import loadbalancer.proxy.TestProxy;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** Which watch is active: after a failure, and after a move to another address. */
-class DiscoveryClientTest {
-
-  private final EventLoop loop =
-      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-  private final RecordingListener listener = new RecordingListener(loop);
-
-  /** Starts a watch with one limit on silence and on the first response. */
-  private DiscoveryClient startWatch(InetSocketAddress address, long silenceMillis) {
-    return startWatch(address, silenceMillis, silenceMillis);
-  }
-
-  private DiscoveryClient startWatch(
-      InetSocketAddress address, long firstResponseMillis, long silenceMillis) {
-    DiscoveryClient discovery =
-        new DiscoveryClient(
-            loop,
-            WatchTarget.of(address, 7),
-            new WatchTimeouts(firstResponseMillis, silenceMillis),
-            listener);
-    loop.execute(() -> discovery.watch(true));
-    return discovery;
-  }
-
-  @AfterEach
-  void stop() {
-    loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
-  }
+class DiscoveryClientTest extends WatchTestSupport {
 
   /** As where clients and upstreams hold every descriptor; the failure is notified on the loop. */
   @Test
--- a/src/test/java/loadbalancer/proxy/discovery/EndpointListWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/EndpointListWatchTest.java
@@ -6,9 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.netty.channel.EventLoop;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.NioIoHandler;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -16,43 +13,15 @@
 import java.net.SocketTimeoutException;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.TimeUnit;
 import loadbalancer.config.EndpointList;
 import loadbalancer.proxy.FakeHttpServer;
 import loadbalancer.proxy.TestProxy;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** One watch, against a service that splits its lists, falls silent, fails or never responds. */
-class EndpointListWatchTest {
-
-  private final EventLoop loop =
-      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-  private final RecordingListener listener = new RecordingListener(loop);
-
-  /** Starts a watch with one limit on silence and on the first response. */
-  private DiscoveryClient startWatch(InetSocketAddress address, long silenceMillis) {
-    return startWatch(address, silenceMillis, silenceMillis);
-  }
-
-  private DiscoveryClient startWatch(
-      InetSocketAddress address, long firstResponseMillis, long silenceMillis) {
-    DiscoveryClient discovery =
-        new DiscoveryClient(
-            loop,
-            WatchTarget.of(address, 7),
-            new WatchTimeouts(firstResponseMillis, silenceMillis),
-            listener);
-    loop.execute(() -> discovery.watch(true));
-    return discovery;
-  }
-
-  @AfterEach
-  void stop() {
-    loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
-  }
+class EndpointListWatchTest extends WatchTestSupport {
 
   @Test
   void listsMayBeSplitAnywhereAndTheNextWatchStartsAtTheLastVersion() throws Exception {
