--- a/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -102,7 +102,7 @@
     if (hasEnoughSamples(windows.key(), nowNanos)) {
       return windows.key();
     }
-    if (!inFlightTime.isSparse(registry.readyCount(), nowNanos)
+    if (!inFlightTime.isTrafficSparse(registry.readyCount(), nowNanos)
         || hasEnoughSamples(windows.classAndTenant(), nowNanos)) {
       return windows.classAndTenant();
     }
--- a/src/main/java/loadbalancer/policy/InFlightTime.java
+++ b/src/main/java/loadbalancer/policy/InFlightTime.java
@@ -83,7 +83,7 @@
   }
 
   /** Whether so little is in flight for each ready endpoint that the history has to count. */
-  boolean isSparse(int readyEndpoints, long nowNanos) {
+  boolean isTrafficSparse(int readyEndpoints, long nowNanos) {
     return fleet.total(nowNanos, Metric.LATENCY)
         < SPARSE_IN_FLIGHT_PER_ENDPOINT * readyEndpoints * HISTORY_NANOS;
   }
--- a/src/main/java/loadbalancer/policy/KeySpread.java
+++ b/src/main/java/loadbalancer/policy/KeySpread.java
@@ -35,7 +35,7 @@
     double keyTraffic = pending.windows.key().total(nowNanos, Metric.OFFERED);
     double allTraffic = traffic.fleetTotal(Metric.OFFERED, nowNanos);
     int ready = registry.readyCount();
-    if (!endpointsCacheKeys || inFlightTime.isSparse(ready, nowNanos)) {
+    if (!endpointsCacheKeys || inFlightTime.isTrafficSparse(ready, nowNanos)) {
       return ready;
     }
     double keyFraction = keyTraffic / Math.max(1, allTraffic);
--- a/src/main/java/loadbalancer/policy/LoadBound.java
+++ b/src/main/java/loadbalancer/policy/LoadBound.java
@@ -34,7 +34,7 @@
     maxLocalHistory = Math.ceil((1 + HISTORY_SLACK) * attempts * registry.localEndpointFraction());
     maxRemoteHistory =
         Math.ceil((1 + HISTORY_SLACK) * attempts / Math.max(1, registry.readyCount()));
-    isHistoryBinding = inFlightTime.isSparse(registry.readyCount(), nowNanos);
+    isHistoryBinding = inFlightTime.isTrafficSparse(registry.readyCount(), nowNanos);
   }
 
   /** Whether the endpoint's load in flight is below its bound. */
