--- a/src/main/java/loadbalancer/policy/AdaptiveLoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/policy/AdaptiveLoadBalancingPolicy.java
@@ -26,7 +26,7 @@
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
   private final PolicySettings settings;
-  private final PolicyParts parts;
+  private final PolicyComponents parts;
   private final SweepTimer sweepTimer = new SweepTimer();
   private final RequestLifecycle requests;
   private final WatchBackoff watchBackoff;
@@ -37,7 +37,7 @@
     this.settings = settings;
     SplittableRandom random = new SplittableRandom(seed);
     LatencyObjectives objectives = LatencyObjectives.of(settings.requestClasses());
-    parts = new PolicyParts(settings, objectives, random);
+    parts = new PolicyComponents(settings, objectives, random);
     requests =
         new RequestLifecycle(settings, parts, sweepTimer, objectives.shortestNanos(), random);
     watchBackoff = new WatchBackoff(settings, random);
--- a/src/main/java/loadbalancer/policy/PolicyParts.java
+++ b/src/main/java/loadbalancer/policy/PolicyComponents.java
@@ -6,7 +6,7 @@
 /**
  * The parts that a policy is put together of, each with its own state; made once for each balancer.
  */
-final class PolicyParts {
+final class PolicyComponents {
   /** Counts traffic in sliding windows. */
   final TrafficStatistics traffic;
 
@@ -51,7 +51,7 @@
    *
    * @param random the policy's one source of randomness, shared by the parts
    */
-  PolicyParts(PolicySettings settings, LatencyObjectives objectives, SplittableRandom random) {
+  PolicyComponents(PolicySettings settings, LatencyObjectives objectives, SplittableRandom random) {
     long windowNanos = objectives.statisticsWindowNanos();
     registry = new EndpointRegistry(settings, objectives, random);
     inFlightTime = new InFlightTime(objectives.shortestNanos() / 2.0);
--- a/src/main/java/loadbalancer/policy/RequestLifecycle.java
+++ b/src/main/java/loadbalancer/policy/RequestLifecycle.java
@@ -38,7 +38,7 @@
   private static final long MIN_SWEEP_DELAY_NANOS = 1_000_000L;
 
   private final PolicySettings settings;
-  private final PolicyParts parts;
+  private final PolicyComponents parts;
   private final SweepTimer sweepTimer;
   private final SplittableRandom random;
   private final long inFlightSweepPeriodNanos;
@@ -49,7 +49,7 @@
   /** Without requests; asks {@code sweepTimer} for the sweeps that pending requests need. */
   RequestLifecycle(
       PolicySettings settings,
-      PolicyParts parts,
+      PolicyComponents parts,
       SweepTimer sweepTimer,
       long shortestObjectiveNanos,
       SplittableRandom random) {
@@ -223,7 +223,7 @@
       if (pending.inFlight == 0) {
         pendingRequests.remove(completed.requestId());
       }
-    } else if (completed.requestFinished()) {
+    } else if (completed.requestCompleted()) {
       if (pending.inFlight > 0 && completed.attempt() > 0) {
         parts.hedging.hedgeWon();
       }
--- a/src/main/java/loadbalancer/policy/event/AttemptCompleted.java
+++ b/src/main/java/loadbalancer/policy/event/AttemptCompleted.java
@@ -10,7 +10,7 @@
  * @param endpointId the endpoint that the attempt was forwarded to
  * @param status how the attempt ended
  * @param latencyNanos the time since the attempt was forwarded
- * @param requestFinished whether the request has its final answer; the first {@link
+ * @param requestCompleted whether the request has its final answer; the first {@link
  *     AttemptStatus#SERVED} finishes it by itself
  * @param loadReport the endpoint's load report, empty where none came
  * @param foundStaleConnection whether a pooled connection was reset by the request before any byte
@@ -22,7 +22,7 @@
     long endpointId,
     AttemptStatus status,
     long latencyNanos,
-    boolean requestFinished,
+    boolean requestCompleted,
     Map<String, Double> loadReport,
     boolean foundStaleConnection)
     implements Event {
@@ -35,8 +35,8 @@
       long endpointId,
       AttemptStatus status,
       long latencyNanos,
-      boolean requestFinished,
+      boolean requestCompleted,
       Map<String, Double> loadReport) {
-    this(requestId, attempt, endpointId, status, latencyNanos, requestFinished, loadReport, false);
+    this(requestId, attempt, endpointId, status, latencyNanos, requestCompleted, loadReport, false);
   }
 }
--- a/src/test/java/loadbalancer/proxy/coordinator/AttemptForwardingTest.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/AttemptForwardingTest.java
@@ -97,7 +97,7 @@
       coordinator.accept("1", "look", 15_000);
       AttemptCompleted attempt = coordinator.nextCompletedAttempt();
       assertEquals(AttemptStatus.NOT_SENT, attempt.status());
-      assertTrue(attempt.requestFinished());
+      assertTrue(attempt.requestCompleted());
       coordinator.setClientConnected(true);
       coordinator.accept("1", "look", 15_000);
       assertEquals("served", coordinator.nextResponse());
--- a/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
@@ -64,7 +64,7 @@
       coordinator.accept("1", "look", 15_000);
       AttemptCompleted late = coordinator.nextCompletedAttempt();
       assertEquals(AttemptStatus.SERVED, late.status());
-      assertTrue(late.requestFinished());
+      assertTrue(late.requestCompleted());
       assertEquals("rejected", coordinator.nextResponse());
       assertTrue(coordinator.responses.isEmpty());
       coordinator.accept("1", "look", 15_000);
