--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
@@ -87,11 +87,11 @@
             loop,
             WatchTarget.of(configuration.discovery(), configuration.known().version()),
             WatchTimeouts.PROTOCOL,
-            new CoordinatorUpdates());
+            new DiscoveryEventForwarder());
   }
 
   /** Hands the watch events of discovery to the coordinator, on the event loop. */
-  private final class CoordinatorUpdates implements DiscoveryListener {
+  private final class DiscoveryEventForwarder implements DiscoveryListener {
 
     @Override
     public void endpointListReceived(EndpointList list) {
--- a/src/main/java/loadbalancer/proxy/telemetry/TrafficCounters.java
+++ b/src/main/java/loadbalancer/proxy/telemetry/TrafficCounters.java
@@ -15,8 +15,9 @@
   private static final double NANOS_PER_MILLI = 1e6;
 
   private final Map<InetSocketAddress, EndpointAttempts> attemptsByEndpoint = new HashMap<>();
-  private final Map<AttemptStatus, Tally> attemptsByStatus = tallies(AttemptStatus.class);
-  private final Map<EndpointCategory, Tally> servedByCategory = tallies(EndpointCategory.class);
+  private final Map<AttemptStatus, AttemptTotals> attemptsByStatus = tallies(AttemptStatus.class);
+  private final Map<EndpointCategory, AttemptTotals> servedByCategory =
+      tallies(EndpointCategory.class);
   private int requestsReceived;
   private int rejectedOnArrival;
   private int rejectedLater;
@@ -76,8 +77,8 @@
   /** Starts a new interval: sets every count and sum to zero. */
   void reset() {
     attemptsByEndpoint.clear();
-    attemptsByStatus.values().forEach(Tally::reset);
-    servedByCategory.values().forEach(Tally::reset);
+    attemptsByStatus.values().forEach(AttemptTotals::reset);
+    servedByCategory.values().forEach(AttemptTotals::reset);
     requestsReceived = 0;
     rejectedOnArrival = 0;
     rejectedLater = 0;
@@ -167,16 +168,16 @@
     return sumNanos / NANOS_PER_MILLI / Math.max(1, count);
   }
 
-  private static <E extends Enum<E>> Map<E, Tally> tallies(Class<E> type) {
-    Map<E, Tally> tallies = new EnumMap<>(type);
+  private static <E extends Enum<E>> Map<E, AttemptTotals> tallies(Class<E> type) {
+    Map<E, AttemptTotals> tallies = new EnumMap<>(type);
     for (E constant : type.getEnumConstants()) {
-      tallies.put(constant, new Tally());
+      tallies.put(constant, new AttemptTotals());
     }
     return tallies;
   }
 
   /** A number of attempts and the sum of their latencies. */
-  private static final class Tally {
+  private static final class AttemptTotals {
     private int count;
     private long sumNanos;
 
--- a/src/test/java/loadbalancer/proxy/DisconnectBeforeForwardingTest.java
+++ b/src/test/java/loadbalancer/proxy/DisconnectBeforeForwardingTest.java
@@ -177,7 +177,7 @@
             disconnectIsRead,
             () -> {
               upstreamMayRespond.countDown();
-              TestProxy.awaitUninterruptibly(upstreamHasResponded);
+              TestProxy.awaitLatch(upstreamHasResponded);
             });
         for (TestClient otherClient : otherClients) {
           assertEquals(200, otherClient.readResponse().status());
@@ -219,9 +219,7 @@
         CountDownLatch loopMayContinue = new CountDownLatch(1);
         // Blocks the loop after the task that connects, which the decision to forward adds.
         beforeRequest =
-            () ->
-                loop.execute(
-                    () -> loop.execute(() -> TestProxy.awaitUninterruptibly(loopMayContinue)));
+            () -> loop.execute(() -> loop.execute(() -> TestProxy.awaitLatch(loopMayContinue)));
         try (TestClient client = new TestClient(server.address)) {
           client.send(request("1"));
           TestProxy.waitUntil(() -> upstream.connections.size() == 1);
--- a/src/test/java/loadbalancer/proxy/TestProxy.java
+++ b/src/test/java/loadbalancer/proxy/TestProxy.java
@@ -122,14 +122,14 @@
     loop.execute(
         () -> {
           entered.countDown();
-          awaitUninterruptibly(release);
+          awaitLatch(release);
         });
     assertTrue(
         entered.await(WAIT_LIMIT_NANOS, TimeUnit.NANOSECONDS), "the event loop did not block");
   }
 
   /** Waits for a latch, as a task that blocks an event loop does; an interrupt ends the wait. */
-  static void awaitUninterruptibly(CountDownLatch latch) {
+  static void awaitLatch(CountDownLatch latch) {
     try {
       latch.await();
     } catch (InterruptedException e) {
