--- a/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -3,65 +3,66 @@
 import java.util.SplittableRandom;
 
 /**
- * Outlier detection: takes endpoints that fail, or stop responding, out of the placement, in the
- * terms of Envoy's documentation.
+ * Outlier detection: excludes endpoints that fail or stop responding from placement. The terms are
+ * those of Envoy's documentation.
  *
  * <ul>
- *   <li>Ejection: consecutive failures eject an endpoint for a time that doubles with each ejection
- *       in a row.
- *   <li>Half-open trial, as in a circuit breaker: after its ejection, an endpoint gets one attempt;
- *       the next one is forwarded when that has completed.
- *   <li>Unresponsive: nothing was heard from an endpoint for much longer than its responses usually
- *       lie apart; seen before the first time-out.
- *   <li>Panic threshold: with too many ready endpoints out, all are used, as failures of so many
- *       have another cause or no remedy.
+ *   <li>Ejection: consecutive failures eject an endpoint for a time that doubles with each
+ *       consecutive ejection.
+ *   <li>Half-open trial, as in a circuit breaker: after its ejection, an endpoint gets one attempt
+ *       at a time until one is served or it is ejected again.
+ *   <li>Unresponsive: an endpoint with attempts in flight has been silent for much longer than the
+ *       usual interval between its responses. This is detected before the first attempt times out.
+ *   <li>Panic threshold: if too many ready endpoints are ejected or unresponsive, all are used.
+ *       Failures of so many are caused elsewhere or cannot be avoided.
  * </ul>
  *
- * <p>{@link BoundedLoadPlacement} asks it for each endpoint, {@link HedgingPolicy} for one that a
- * request waits for.
+ * <p>{@link BoundedLoadPlacement} queries it for each endpoint that it considers, {@link
+ * HedgingPolicy} for the endpoint of an attempt in flight.
  */
 final class OutlierDetector {
   private static final int CONSECUTIVE_FAILURES = 3;
   private static final long BASE_EJECTION_NANOS = 500_000_000L;
   private static final long MAX_EJECTION_NANOS = 8_000_000_000L;
 
-  /** Far enough to reach the longest ejection, and too small to overflow. */
+  /** Enough doublings to reach {@link #MAX_EJECTION_NANOS}, and too few to overflow. */
   private static final int MAX_EJECTION_DOUBLINGS = 10;
 
+  /** All are used if more than this fraction of ready endpoints is ejected or unresponsive. */
   private static final double PANIC_THRESHOLD = 0.5;
 
-  /** Unresponsive: silent for this many of the mean gaps between its responses... */
-  private static final double UNRESPONSIVE_GAPS = 8;
+  /** An unresponsive endpoint has been silent for this many mean response intervals... */
+  private static final double UNRESPONSIVE_INTERVALS = 8;
 
-  /** ...and at least for this fraction of the shortest latency objective... */
+  /** ...and for at least this fraction of the shortest latency objective... */
   private static final double MIN_SILENCE_IN_OBJECTIVES = 0.3;
 
-  /** ...and this many mean local delays more, since a slow process pauses unevenly. */
+  /** ...plus this many mean local delays, since the pauses of a slow process vary in length. */
   private static final double LOCAL_DELAY_ALLOWANCE = 2;
 
   private final EndpointRegistry registry;
   private final SplittableRandom random;
   private final double minSilenceNanos;
-  private boolean isPanic;
+  private boolean isPanicMode;
 
-  /** What the detector knows of one endpoint. */
+  /** The outlier detection state of one endpoint. */
   static final class State {
-    private long lastHeardNanos;
+    private long lastActivityNanos;
     private int consecutiveFailures;
-    private int ejections;
+    private int consecutiveEjections;
     private long ejectedUntilNanos;
     private boolean isHalfOpenTrial;
 
-    /** Forgets failures and ejections, as the endpoint restarted. */
+    /** Clears failures and ejections, since the endpoint has restarted. */
     void reset() {
       consecutiveFailures = 0;
-      ejections = 0;
+      consecutiveEjections = 0;
       ejectedUntilNanos = 0;
     }
   }
 
   /**
-   * A detector that has seen nothing.
+   * Creates a detector that has ejected no endpoint.
    *
    * @param random the policy's source of randomness
    */
@@ -72,27 +73,27 @@
     minSilenceNanos = MIN_SILENCE_IN_OBJECTIVES * objectives.shortestNanos();
   }
 
-  /** Whether requests may be forwarded to the endpoint. */
+  /** Whether attempts may be forwarded to the endpoint. */
   boolean isUsable(Endpoint endpoint, long nowNanos) {
-    return isPanic
+    return isPanicMode
         || (!isEjected(endpoint, nowNanos)
             && !endpoint.outlierState.isHalfOpenTrial
             && !isUnresponsive(endpoint, nowNanos));
   }
 
   /**
-   * Whether the endpoint has attempts in flight and has been silent for far longer than usual. Time
-   * that attempts wait in this process is this process's silence; so where it is slow, an endpoint
-   * that dies is noticed later.
+   * Whether the endpoint has attempts in flight and has been silent for far longer than usual.
+   * Local delay, the time that attempts wait in this process, does not count as silence of the
+   * endpoint, so a slow balancer detects a dead endpoint later.
    */
   boolean isUnresponsive(Endpoint endpoint, long nowNanos) {
-    double meanGapNanos =
+    double meanIntervalNanos =
         endpoint.responses.meanLatencyNanos(nowNanos) / Math.max(1, endpoint.inFlight());
     double localDelayNanos = endpoint.responses.meanLocalDelayNanos(nowNanos);
     return endpoint.inFlight() > 0
-        && meanGapNanos > 0
-        && nowNanos - endpoint.outlierState.lastHeardNanos
-            > Math.max(UNRESPONSIVE_GAPS * meanGapNanos, minSilenceNanos)
+        && meanIntervalNanos > 0
+        && nowNanos - endpoint.outlierState.lastActivityNanos
+            > Math.max(UNRESPONSIVE_INTERVALS * meanIntervalNanos, minSilenceNanos)
                 + LOCAL_DELAY_ALLOWANCE * localDelayNanos;
   }
 
@@ -100,28 +101,30 @@
     return endpoint.outlierState.ejectedUntilNanos > nowNanos;
   }
 
-  /** Notes an attempt that is about to start; to be called before it counts as in flight. */
+  /** Records an attempt that is about to start; to be called before it is counted as in flight. */
   void beforeAttempt(Endpoint endpoint, long nowNanos) {
     State state = endpoint.outlierState;
     if (endpoint.inFlight() == 0) {
-      state.lastHeardNanos = nowNanos;
+      state.lastActivityNanos = nowNanos;
     }
-    state.isHalfOpenTrial = state.ejections > 0;
+    state.isHalfOpenTrial = state.consecutiveEjections > 0;
   }
 
-  /** Notes that an attempt completed, in whatever way. */
+  /** Records that an attempt completed, with any status. */
   void attemptCompleted(Endpoint endpoint, long nowNanos) {
-    endpoint.outlierState.lastHeardNanos = nowNanos;
+    endpoint.outlierState.lastActivityNanos = nowNanos;
     endpoint.outlierState.isHalfOpenTrial = false;
   }
 
-  /** Counts an attempt that the endpoint served. */
+  /** Records an attempt that the endpoint served; ends its consecutive failures and ejections. */
   void recordSuccess(Endpoint endpoint) {
     endpoint.outlierState.consecutiveFailures = 0;
-    endpoint.outlierState.ejections = 0;
+    endpoint.outlierState.consecutiveEjections = 0;
   }
 
-  /** Counts an attempt that failed or that the endpoint rejected. */
+  /**
+   * Records an attempt that failed or was rejected; ejects the endpoint after too many in a row.
+   */
   void recordFailure(Endpoint endpoint, long nowNanos) {
     State state = endpoint.outlierState;
     state.consecutiveFailures++;
@@ -129,22 +132,22 @@
       long ejectionNanos =
           Math.min(
               MAX_EJECTION_NANOS,
-              BASE_EJECTION_NANOS << Math.min(state.ejections, MAX_EJECTION_DOUBLINGS));
-      state.ejections++;
-      // Jitter, so that balancers do not return to the endpoint at once.
+              BASE_EJECTION_NANOS << Math.min(state.consecutiveEjections, MAX_EJECTION_DOUBLINGS));
+      state.consecutiveEjections++;
+      // Jitter, so that the balancers do not all return to the endpoint at the same time.
       state.ejectedUntilNanos = nowNanos + (long) (ejectionNanos * (0.5 + random.nextDouble() / 2));
     }
   }
 
-  /** Compares the ready endpoints that are out with the panic threshold. */
+  /** Checks the number of ejected or unresponsive ready endpoints against the panic threshold. */
   void updatePanic(long nowNanos) {
-    int out = 0;
+    int unusable = 0;
     for (Endpoint endpoint : registry.endpoints()) {
       if (endpoint.isReady()
           && (isEjected(endpoint, nowNanos) || isUnresponsive(endpoint, nowNanos))) {
-        out++;
+        unusable++;
       }
     }
-    isPanic = out > PANIC_THRESHOLD * registry.readyCount();
+    isPanicMode = unusable > PANIC_THRESHOLD * registry.readyCount();
   }
 }
--- a/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
@@ -7,12 +7,14 @@
 import loadbalancer.policy.event.AttemptStatus;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints are ejected, and when an ejected one is tried again. */
+/** Which endpoints are ejected, and when an ejected endpoint is tried again. */
 class OutlierDetectorTest {
 
-  /** An endpoint that fails fast has the fewest requests in flight, so bounded load prefers it. */
+  /**
+   * An endpoint that fails fast has the fewest requests in flight, so placement would prefer it.
+   */
   @Test
-  void endpointIsEjectedAfterThreeFailuresAndTriedAgain() {
+  void endpointIsEjectedAfterThreeFailuresAndThenTriedAgain() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(6);
     for (int i = 0; i < 60; i++) {
       driver.requestArrives(driver.nextRequestId(), "busy" + i);
@@ -34,13 +36,17 @@
       driver.advance(millis(1));
       driver.attemptCompletes(requestId, endpointId, AttemptStatus.SERVED, millis(1));
     }
-    assertEquals(3, forwardedToOutlier, "three failures eject");
+    assertEquals(3, forwardedToOutlier, "attempts forwarded to the outlier before its ejection");
     driver.advance(millis(600));
-    assertEquals(outlier, driver.serveRequest("k0", millis(1)), "half-open trial");
-    assertEquals(outlier, driver.serveRequest("k0", millis(1)), "in use again after the trial");
+    assertEquals(outlier, driver.serveRequest("k0", millis(1)), "endpoint of the half-open trial");
+    assertEquals(
+        outlier, driver.serveRequest("k0", millis(1)), "endpoint after the trial was served");
   }
 
-  /** An endpoint that rejects at once has the fewest requests in flight of all. */
+  /**
+   * An endpoint that rejects at once has the fewest requests in flight, so placement would prefer
+   * it.
+   */
   @Test
   void endpointThatRejectsEveryRequestIsEjected() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(5);
@@ -55,17 +61,17 @@
       }
       driver.advanceCompletingAttempts(millis(5), AttemptStatus.SERVED, millis(100));
     }
-    assertTrue(rejected < 50, "rejected by the endpoint of a thousand: " + rejected);
+    assertTrue(rejected < 50, "of 1000 requests rejected by the endpoint: " + rejected);
   }
 
   @Test
-  void resetsOfStaleConnectionsEjectNoEndpoint() {
+  void resetsOfStaleConnectionsDoNotEjectTheEndpoint() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(3);
     long owner = driver.serveRequest("k", millis(40));
     for (int i = 0; i < 5; i++) {
       driver.requestArrives("b" + i, "k");
       driver.attemptFindsStaleConnection("b" + i);
     }
-    assertEquals(owner, driver.serveRequest("k", millis(40)), "still the owner of its key");
+    assertEquals(owner, driver.serveRequest("k", millis(40)), "owner of the key");
   }
 }
