--- a/src/test/java/loadbalancer/policy/ConcurrencyLimitTest.java
+++ b/src/test/java/loadbalancer/policy/ConcurrencyLimitTest.java
@@ -7,10 +7,10 @@
 import loadbalancer.policy.event.AttemptStatus;
 import org.junit.jupiter.api.Test;
 
-/** How many requests an endpoint gets at once, and what becomes of those beyond. */
+/** How many requests an endpoint gets at once, and what happens to those over the limit. */
 class ConcurrencyLimitTest {
 
-  /** Requests wait here, by priority weight, rather than in the endpoint's own queue. */
+  /** Requests wait in the balancer, by priority weight, rather than in the endpoint's own queue. */
   @Test
   void requestsOverTheConcurrencyLimitAreQueuedAndRejectedEarly() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(1);
@@ -20,10 +20,10 @@
     int forwarded = countForwarded(driver, 60, 0);
     assertTrue(forwarded >= 2 && forwarded <= 12, "forwarded at once: " + forwarded);
     int rejected = PolicyDriver.actionsOf(RejectRequest.class, driver.advance(millis(170))).size();
-    assertTrue(rejected > 30, "rejected inside 0.43 of the latency objective: " + rejected);
+    assertTrue(rejected > 30, "rejected within 0.43 of the latency objective: " + rejected);
   }
 
-  /** A few heavy requests fill an endpoint that a count of requests calls half empty. */
+  /** By a plain count of requests, an endpoint filled by a few heavy ones would seem half empty. */
   @Test
   void requestsHintedAsHeavyTakeMoreOfTheConcurrencyLimit() {
     int light = forwardedAtOnce(millis(20));
