--- a/src/main/java/loadbalancer/policy/BoundedLoadPlacement.java
+++ b/src/main/java/loadbalancer/policy/BoundedLoadPlacement.java
@@ -5,20 +5,21 @@
 
 /**
  * Chooses the endpoint of an attempt by consistent hashing with bounded loads (Mirrokni, Thorup and
- * Zadimoghaddam, 2016): the first endpoint on the key's walk of the hash ring whose load is below
- * its bound, so that a key keeps its endpoints and none is crowded. Endpoints of the local zone
- * come first. Called by {@link RequestLifecycle} for each attempt.
+ * Zadimoghaddam, 2016): walks the hash ring from the position of the request's key to the first
+ * endpoint whose load is below its bound. The requests of a key thus stay on few endpoints, and no
+ * endpoint gets far more load than the mean. Endpoints in the local zone are preferred. Called by
+ * {@link RequestLifecycle} for each attempt.
  */
 final class BoundedLoadPlacement {
 
   /**
-   * The rules that a placement keeps.
+   * The constraints that a placement applies.
    *
-   * @param keySpread over how many endpoints a key spreads
-   * @param loadBound how much load an endpoint takes
-   * @param slowStart how much of it while the endpoint warms up
-   * @param outlierDetector which endpoints are left out
-   * @param retrySafety which endpoints a repeated request may go to
+   * @param keySpread limits the number of endpoints that the requests of one key use
+   * @param loadBound limits the load of each endpoint
+   * @param slowStart limits the traffic of endpoints that are warming up
+   * @param outlierDetector excludes endpoints that are ejected or unresponsive
+   * @param retrySafety excludes endpoints at which a repeated request could take effect twice
    */
   record Rules(
       KeySpread keySpread,
@@ -27,33 +28,37 @@
       OutlierDetector outlierDetector,
       RetrySafety retrySafety) {}
 
-  /** How an endpoint stands to its bounds. */
-  private enum Fit {
+  /** The result of checking an endpoint against its bounds. */
+  private enum LoadStatus {
+    /** The load in flight is at its bound. */
     AT_CAPACITY,
-    ABOVE_HISTORY,
+    /** The load in flight is below its bound, the recent attempts are not. */
+    ABOVE_RECENT_BOUND,
+    /** Below the bound on load in flight, but limited by slow start. */
     WARMING_UP,
+    /** May take the attempt. */
     WITHIN_BOUNDS
   }
 
-  /** The first endpoint of each kind on a walk, for where no local one is within its bounds. */
+  /** The first endpoint of each kind on a walk, used if no local endpoint is within its bounds. */
   private static final class Fallbacks {
     private Endpoint remoteWarmingUp;
     private Endpoint remote;
-    private Endpoint aboveHistory;
+    private Endpoint aboveRecentBound;
 
     private void clear() {
       remoteWarmingUp = null;
       remote = null;
-      aboveHistory = null;
+      aboveRecentBound = null;
     }
 
-    private void add(Endpoint endpoint, Fit fit) {
-      if (fit == Fit.WITHIN_BOUNDS && remote == null) {
+    private void add(Endpoint endpoint, LoadStatus status) {
+      if (status == LoadStatus.WITHIN_BOUNDS && remote == null) {
         remote = endpoint;
-      } else if (fit == Fit.WARMING_UP && remote == null && remoteWarmingUp == null) {
+      } else if (status == LoadStatus.WARMING_UP && remote == null && remoteWarmingUp == null) {
         remoteWarmingUp = endpoint;
-      } else if (fit == Fit.ABOVE_HISTORY && aboveHistory == null) {
-        aboveHistory = endpoint;
+      } else if (status == LoadStatus.ABOVE_RECENT_BOUND && aboveRecentBound == null) {
+        aboveRecentBound = endpoint;
       }
     }
   }
@@ -66,14 +71,14 @@
   private final OutlierDetector outlierDetector;
   private final RetrySafety retrySafety;
 
-  /** Of the present walk; one object for all, as a walk is part of each attempt. */
+  /** The fallbacks of the current walk; reused, since every attempt walks the ring. */
   private final Fallbacks fallbacks = new Fallbacks();
 
-  /** The number of the present walk, which marks the endpoints that it came by. */
-  private long walk;
+  /** The number of the current walk, which marks the endpoints that it has visited. */
+  private long walkNumber;
 
   /**
-   * A placement among the registry's ready endpoints.
+   * Creates a placement over the registry's ready endpoints.
    *
    * @param random the policy's source of randomness
    */
@@ -88,36 +93,44 @@
   }
 
   /**
-   * The endpoint for the request's next attempt; null where none may take it. In order of
-   * preference: a local one within its bounds; a remote one within its bounds, or one before it
-   * that is warming up and whose slow start allows it; one above the bound of its history.
+   * The endpoint for the request's next attempt, or null if no endpoint may take it. In order of
+   * preference:
+   *
+   * <ol>
+   *   <li>the first local endpoint that is within its bounds, or that is warming up and allowed the
+   *       attempt by slow start;
+   *   <li>a remote endpoint that is warming up and allowed the attempt by slow start, if it comes
+   *       before all remote endpoints that are within their bounds;
+   *   <li>the first remote endpoint within its bounds;
+   *   <li>the first endpoint above its bound on recent attempts.
+   * </ol>
    */
   Endpoint place(PendingRequest pending, long nowNanos) {
     HashRing ring = registry.ring();
-    int position = startOf(pending, ring);
+    int position = startPosition(pending, ring);
     double maxLocalTried = keySpread.maxEndpoints(pending, nowNanos);
-    loadBound.startWalk(nowNanos);
+    loadBound.updateSharedBounds(nowNanos);
     fallbacks.clear();
-    walk++;
+    walkNumber++;
     int visited = 0;
     int localTried = 0;
     while (visited < registry.readyCount() && localTried < maxLocalTried) {
       Endpoint endpoint = ring.ownerAt(position);
       position++;
-      if (endpoint.lastWalk == walk) {
+      if (endpoint.lastWalkNumber == walkNumber) {
         continue;
       }
-      endpoint.lastWalk = walk;
+      endpoint.lastWalkNumber = walkNumber;
       visited++;
       if (!isEligible(pending, endpoint, nowNanos)) {
         continue;
       }
       boolean isLocal = registry.isLocal(endpoint);
-      Fit fit = fitOf(endpoint, isLocal, nowNanos);
-      if (!isLocal || fit == Fit.ABOVE_HISTORY) {
-        fallbacks.add(endpoint, fit);
-      } else if (fit == Fit.WITHIN_BOUNDS
-          || (fit == Fit.WARMING_UP && slowStart.tryAcquire(endpoint, nowNanos))) {
+      LoadStatus status = loadStatus(endpoint, isLocal, nowNanos);
+      if (!isLocal || status == LoadStatus.ABOVE_RECENT_BOUND) {
+        fallbacks.add(endpoint, status);
+      } else if (status == LoadStatus.WITHIN_BOUNDS
+          || (status == LoadStatus.WARMING_UP && slowStart.tryAcquire(endpoint, nowNanos))) {
         return endpoint;
       }
       if (isLocal) {
@@ -127,28 +140,28 @@
     return bestFallback(nowNanos);
   }
 
-  private Fit fitOf(Endpoint endpoint, boolean isLocal, long nowNanos) {
+  private LoadStatus loadStatus(Endpoint endpoint, boolean isLocal, long nowNanos) {
     boolean hasCapacity = loadBound.hasCapacity(endpoint, nowNanos);
-    boolean isWithinHistory = loadBound.isWithinHistory(endpoint, isLocal, nowNanos);
+    boolean isWithinRecentBound = loadBound.isWithinRecentBound(endpoint, isLocal, nowNanos);
     if (!hasCapacity) {
-      return Fit.AT_CAPACITY;
+      return LoadStatus.AT_CAPACITY;
     }
     if (slowStart.isWarmingUp(endpoint, nowNanos)) {
-      return Fit.WARMING_UP;
+      return LoadStatus.WARMING_UP;
     }
-    return isWithinHistory ? Fit.WITHIN_BOUNDS : Fit.ABOVE_HISTORY;
+    return isWithinRecentBound ? LoadStatus.WITHIN_BOUNDS : LoadStatus.ABOVE_RECENT_BOUND;
   }
 
   private Endpoint bestFallback(long nowNanos) {
-    // Acquired last: credit that is taken for an attempt that goes elsewhere would add to a burst.
+    // Acquire last: credit taken for an attempt that goes elsewhere would add to a later burst.
     if (fallbacks.remoteWarmingUp != null
         && slowStart.tryAcquire(fallbacks.remoteWarmingUp, nowNanos)) {
       return fallbacks.remoteWarmingUp;
     }
-    return fallbacks.remote == null ? fallbacks.aboveHistory : fallbacks.remote;
+    return fallbacks.remote == null ? fallbacks.aboveRecentBound : fallbacks.remote;
   }
 
-  private int startOf(PendingRequest pending, HashRing ring) {
+  private int startPosition(PendingRequest pending, HashRing ring) {
     String key = pending.request.key();
     return ring.positionOf(key == null ? "" + random.nextLong() : key);
   }
@@ -159,7 +172,7 @@
         && outlierDetector.isUsable(endpoint, nowNanos);
   }
 
-  /** Whether the endpoint has an attempt of the request, or had one and there are others left. */
+  /** Whether the endpoint has an attempt of this request, or had one and others are left to try. */
   private boolean isAvoided(List<Attempt> attempts, Endpoint endpoint) {
     for (int i = 0; i < attempts.size(); i++) {
       Attempt attempt = attempts.get(i);
--- a/src/main/java/loadbalancer/policy/Endpoint.java
+++ b/src/main/java/loadbalancer/policy/Endpoint.java
@@ -4,35 +4,35 @@
 import loadbalancer.policy.event.EndpointStatus;
 
 /**
- * One endpoint, with what this balancer has observed of it. The descriptor and the counts of what
- * is in flight are written through {@link EndpointRegistry}; each other part belongs to the class
- * that its comment names.
+ * An endpoint and what this balancer has observed of it. Only {@link EndpointRegistry} changes the
+ * descriptor, the start time and the load in flight; each of the other fields is maintained by the
+ * class that its comment names.
  */
 final class Endpoint {
-  /** The endpoint's number in the endpoint list. */
+  /** The endpoint's id in the endpoint list. */
   final long id;
 
-  /** What its served attempts showed. */
+  /** Statistics of its served attempts; maintained by {@link AttemptRecorder}. */
   final ResponseStatistics responses;
 
-  /** Its part of {@link InFlightTime}. */
+  /** The time that its attempts were in flight; maintained by {@link InFlightTime}. */
   final SlidingWindow inFlightTime;
 
-  /** What {@link OutlierDetector} knows of it. */
+  /** Its state in {@link OutlierDetector}. */
   final OutlierDetector.State outlierState = new OutlierDetector.State();
 
-  /** What {@link SlowStart} keeps for it. */
+  /** Its state in {@link SlowStart}. */
   final SlowStart.State slowStartState = new SlowStart.State();
 
-  /** The last walk of the hash ring that came by; belongs to {@link BoundedLoadPlacement}. */
-  long lastWalk;
+  /** The last walk of the hash ring that visited it; set by {@link BoundedLoadPlacement}. */
+  long lastWalkNumber;
 
   private EndpointDescriptor descriptor;
   private long startedAtNanos;
   private int inFlight;
   private double load;
 
-  /** An endpoint that was not heard of before. */
+  /** Creates an endpoint; {@link #setDescriptor} must be called before it is used. */
   Endpoint(long id, ResponseStatistics responses, SlidingWindow inFlightTime) {
     this.id = id;
     this.responses = responses;
@@ -44,33 +44,33 @@
     return descriptor;
   }
 
-  /** Whether it takes new requests, by the endpoint list. */
+  /** Whether it takes new requests, according to the endpoint list. */
   boolean isReady() {
     return descriptor.status() == EndpointStatus.READY;
   }
 
-  /** When it last started, on the balancer's clock; 0 for long ago. */
+  /** When it last started, on the balancer's clock; 0 if that was long ago. */
   long startedAtNanos() {
     return startedAtNanos;
   }
 
-  /** This balancer's attempts in flight at it. */
+  /** The number of this balancer's attempts in flight at the endpoint. */
   int inFlight() {
     return inFlight;
   }
 
-  /** The load of the attempts in flight, in average requests. */
+  /** The load of those attempts, in average requests. */
   double load() {
     return load;
   }
 
-  /** Takes over an entry of the endpoint list. */
-  void describe(EndpointDescriptor latest) {
+  /** Replaces the descriptor with a newer entry of the endpoint list. */
+  void setDescriptor(EndpointDescriptor latest) {
     descriptor = latest;
   }
 
-  /** Notes that the endpoint restarted. */
-  void restart(long atNanos) {
+  /** Records that the endpoint restarted, at a reading of the balancer's clock. */
+  void recordRestart(long atNanos) {
     startedAtNanos = atNanos;
   }
 
@@ -84,7 +84,7 @@
   void removeAttempt(double attemptLoad) {
     inFlight--;
     if (inFlight == 0) {
-      // No rounding error is carried on.
+      // Discards the accumulated rounding error.
       load = 0;
     } else {
       load -= attemptLoad;
--- a/src/main/java/loadbalancer/policy/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/policy/EndpointRegistry.java
@@ -13,15 +13,15 @@
 import loadbalancer.policy.settings.WeightKind;
 
 /**
- * The endpoints that this balancer knows, the hash ring of those that are ready, and the load in
- * flight on the ring. An endpoint that is listed as removed, or missing in a full list, stays until
- * its last attempt completes.
+ * The endpoints that this balancer knows, the hash ring of the ready ones, and their load in
+ * flight. An endpoint that is listed as removed, or is missing from a full list, is kept while it
+ * has attempts in flight, and dropped by the first update after that.
  */
 final class EndpointRegistry {
-  /** Puts the spread of keys within some 15% of even; {@link LoadBound} does the rest. */
+  /** Keeps keys per endpoint within about 15% of the mean; {@link LoadBound} evens out the rest. */
   private static final int RING_POINTS_PER_ENDPOINT = 50;
 
-  /** A weight counts at most this many times the median, and at least its inverse. */
+  /** Weights are clamped to this multiple of the median, and to the inverse multiple. */
   private static final double MAX_RELATIVE_WEIGHT = 4;
 
   private final PolicySettings settings;
@@ -31,13 +31,13 @@
   private HashRing ring = new HashRing(List.of(), endpoint -> 0);
   private int readyCount;
   private double readyLoad;
-  private double localEndpointFraction;
+  private double localEndpointTrafficFraction;
 
-  /** The median weight of the first list that named a ready endpoint. */
+  /** The median weight of the ready endpoints when there first were any; 0 until then. */
   private double medianWeight;
 
   /**
-   * A registry without endpoints.
+   * Creates a registry without endpoints.
    *
    * @param random the policy's source of randomness
    */
@@ -62,32 +62,33 @@
     return readyCount;
   }
 
-  /** The load in flight at ready endpoints, in average requests. */
+  /** The load in flight at all ready endpoints, in average requests. */
   double readyLoad() {
     return readyLoad;
   }
 
-  /** Whether the endpoint is in this balancer's zone, or zones do not matter. */
+  /** Whether the endpoint is in this balancer's zone, or cross-zone traffic costs nothing. */
   boolean isLocal(Endpoint endpoint) {
     return settings.costs().crossZone() == 0
         || endpoint.descriptor().zone().equals(settings.zone());
   }
 
   /**
-   * The fraction of this balancer's traffic that an endpoint of the local zone is meant to get at
-   * most: a zone with few endpoints left gets no more than the zone's fraction of the fleet.
+   * The largest fraction of this balancer's traffic that one local endpoint should get. It is lower
+   * in a zone with few endpoints left, so that the zone gets no more of the traffic than its
+   * fraction of the fleet.
    */
-  double localEndpointFraction() {
-    return localEndpointFraction;
+  double localEndpointTrafficFraction() {
+    return localEndpointTrafficFraction;
   }
 
-  /** Counts an attempt that was forwarded to a ready endpoint. */
+  /** Adds an attempt that was forwarded to a ready endpoint. */
   void attemptStarted(Endpoint endpoint, double load) {
     endpoint.addAttempt(load);
     readyLoad += load;
   }
 
-  /** Counts an attempt as completed. */
+  /** Removes an attempt that has completed. */
   void attemptCompleted(Endpoint endpoint, double load) {
     endpoint.removeAttempt(load);
     if (endpoint.isReady()) {
@@ -95,9 +96,9 @@
     }
   }
 
-  /** Applies an update other than {@link EndpointListUpdate.Kind#FAILED}. */
+  /** Applies an update of any kind but {@link EndpointListUpdate.Kind#FAILED}. */
   void apply(EndpointListUpdate update, long nowNanos) {
-    for (EndpointDescriptor descriptor : changesOf(update)) {
+    for (EndpointDescriptor descriptor : changesIn(update)) {
       apply(descriptor, nowNanos);
     }
     rebuildRing();
@@ -109,7 +110,7 @@
                     && endpoint.inFlight() == 0);
   }
 
-  private Collection<EndpointDescriptor> changesOf(EndpointListUpdate update) {
+  private Collection<EndpointDescriptor> changesIn(EndpointListUpdate update) {
     Map<Long, EndpointDescriptor> changes = new LinkedHashMap<>();
     for (EndpointDescriptor descriptor : update.entries()) {
       changes.put(descriptor.endpointId(), descriptor);
@@ -143,12 +144,12 @@
                     new ResponseStatistics(responseWindowNanos, nowNanos),
                     InFlightTime.newWindow(nowNanos)));
     if (descriptor.startedNanos() > endpoint.startedAtNanos()) {
-      endpoint.restart(descriptor.startedNanos());
+      endpoint.recordRestart(descriptor.startedNanos());
       endpoint.outlierState.reset();
-      // Random, or balancers alike would all forward their first attempt at the same time.
+      // Random, so that balancers with equal traffic do not forward their first attempt in step.
       endpoint.slowStartState.reset(random.nextDouble(), nowNanos);
     }
-    endpoint.describe(descriptor);
+    endpoint.setDescriptor(descriptor);
   }
 
   private void rebuildRing() {
@@ -159,9 +160,9 @@
             .toList();
     readyCount = members.size();
     readyLoad = members.stream().mapToDouble(Endpoint::load).sum();
-    localEndpointFraction = localEndpointFraction(members);
+    localEndpointTrafficFraction = localEndpointTrafficFraction(members);
     if (medianWeight == 0 && readyCount > 0) {
-      // Never recomputed, so that an update moves the keys of changed endpoints only.
+      // Never recomputed, so that an update moves only the keys of endpoints that changed.
       double[] weights =
           members.stream()
               .mapToDouble(endpoint -> endpoint.descriptor().weight())
@@ -169,19 +170,19 @@
               .toArray();
       medianWeight = weights[readyCount / 2];
     }
-    ring = new HashRing(members, this::ringPointsOf);
+    ring = new HashRing(members, this::ringPointCount);
   }
 
-  private double localEndpointFraction(List<Endpoint> members) {
+  private double localEndpointTrafficFraction(List<Endpoint> members) {
     long local = members.stream().filter(this::isLocal).count();
     long zones = members.stream().map(endpoint -> endpoint.descriptor().zone()).distinct().count();
     return Math.min(1.0 / Math.max(1, local), (double) zones / Math.max(1, members.size()));
   }
 
-  private long ringPointsOf(Endpoint endpoint) {
-    boolean isSized =
+  private long ringPointCount(Endpoint endpoint) {
+    boolean isWeightASize =
         settings.weightKind() == WeightKind.NOMINAL || settings.weightKind() == WeightKind.ROUGH;
-    if (!isSized || medianWeight <= 0) {
+    if (!isWeightASize || medianWeight <= 0) {
       return RING_POINTS_PER_ENDPOINT;
     }
     double relativeWeight =
--- a/src/main/java/loadbalancer/policy/KeySpread.java
+++ b/src/main/java/loadbalancer/policy/KeySpread.java
@@ -3,14 +3,18 @@
 import loadbalancer.policy.SlidingWindow.Metric;
 
 /**
- * Bounds the number of endpoints that the requests of one key are spread over. Where endpoints
- * cache keys, a key that leaves its endpoints in a crowd is more work for others, and so makes the
- * crowd grow. Called by {@link BoundedLoadPlacement} once for each walk.
+ * Limits the number of endpoints that the requests of one key are spread over. An endpoint that
+ * caches keys serves a key that it does not hold at a higher cost. Moving keys away from their
+ * endpoints under high load would therefore add load, and so move further keys. Called by {@link
+ * BoundedLoadPlacement} once for each walk.
  */
 final class KeySpread {
   private static final int MIN_ENDPOINTS_PER_KEY = 2;
 
-  /** A key also gets this many times its fraction of the traffic, in endpoints. */
+  /**
+   * In addition, a key gets this multiple of its fraction of the traffic, as a fraction of the
+   * ready endpoints.
+   */
   private static final double ENDPOINTS_PER_TRAFFIC_FRACTION = 2;
 
   private final boolean endpointsCacheKeys;
@@ -18,7 +22,7 @@
   private final TrafficStatistics traffic;
   private final InFlightTime inFlightTime;
 
-  /** Bounds that apply where {@code endpointsCacheKeys}. */
+  /** Creates a limit that applies only if {@code endpointsCacheKeys} is set. */
   KeySpread(
       boolean endpointsCacheKeys,
       EndpointRegistry registry,
@@ -30,7 +34,10 @@
     this.inFlightTime = inFlightTime;
   }
 
-  /** How many endpoints of the local zone may be tried for a request. */
+  /**
+   * The number of local endpoints that may be tried for a request; the number of ready endpoints,
+   * and so no limit, if endpoints do not cache keys or traffic is sparse.
+   */
   double maxEndpoints(PendingRequest pending, long nowNanos) {
     double keyTraffic = pending.windows.key().total(nowNanos, Metric.OFFERED);
     double allTraffic = traffic.fleetTotal(Metric.OFFERED, nowNanos);
--- a/src/main/java/loadbalancer/policy/LoadBound.java
+++ b/src/main/java/loadbalancer/policy/LoadBound.java
@@ -1,26 +1,27 @@
 package loadbalancer.policy;
 
 /**
- * The bounds on an endpoint's load in bounded-load placement: at most so much more than the mean of
- * the ready endpoints, and never above its {@link ConcurrencyLimit}. Where too little is in flight
- * for the mean to say anything, {@link InFlightTime} bounds an endpoint by its history as well.
+ * The upper bounds on an endpoint's load in bounded-load placement. Its load in flight may exceed
+ * the mean of the ready endpoints by a fixed fraction, but never its {@link ConcurrencyLimit}. If
+ * so little is in flight that the mean is not significant, the endpoint's recent attempts, as
+ * measured by {@link InFlightTime}, are bounded in the same way.
  */
 final class LoadBound {
-  /** An endpoint may hold this much more than the mean load in flight. */
+  /** The fraction by which an endpoint's load in flight may exceed the mean. */
   private static final double LOAD_SLACK = 0.5;
 
-  /** An endpoint's history may be this much above the mean. */
-  private static final double HISTORY_SLACK = 1;
+  /** The fraction by which an endpoint's recent attempts may exceed their mean. */
+  private static final double RECENT_ATTEMPTS_SLACK = 1;
 
   private final EndpointRegistry registry;
   private final InFlightTime inFlightTime;
   private final ConcurrencyLimit concurrencyLimit;
 
-  private boolean isHistoryBinding;
-  private double maxLocalHistory;
-  private double maxRemoteHistory;
+  private boolean isRecentBoundActive;
+  private double maxLocalRecentAttempts;
+  private double maxRemoteRecentAttempts;
 
-  /** Bounds for the endpoints of the registry. */
+  /** Creates the bounds for the endpoints of the registry. */
   LoadBound(
       EndpointRegistry registry, InFlightTime inFlightTime, ConcurrencyLimit concurrencyLimit) {
     this.registry = registry;
@@ -28,13 +29,14 @@
     this.concurrencyLimit = concurrencyLimit;
   }
 
-  /** Computes the bounds that are the same for all endpoints; to be called once for each walk. */
-  void startWalk(long nowNanos) {
+  /** Updates the bounds that all endpoints share; to be called at the start of each walk. */
+  void updateSharedBounds(long nowNanos) {
     double attempts = inFlightTime.recentAttempts(nowNanos) + 1;
-    maxLocalHistory = Math.ceil((1 + HISTORY_SLACK) * attempts * registry.localEndpointFraction());
-    maxRemoteHistory =
-        Math.ceil((1 + HISTORY_SLACK) * attempts / Math.max(1, registry.readyCount()));
-    isHistoryBinding = inFlightTime.isSparse(registry.readyCount(), nowNanos);
+    maxLocalRecentAttempts =
+        Math.ceil((1 + RECENT_ATTEMPTS_SLACK) * attempts * registry.localEndpointTrafficFraction());
+    maxRemoteRecentAttempts =
+        Math.ceil((1 + RECENT_ATTEMPTS_SLACK) * attempts / Math.max(1, registry.readyCount()));
+    isRecentBoundActive = inFlightTime.isSparse(registry.readyCount(), nowNanos);
   }
 
   /** Whether the endpoint's load in flight is below its bound. */
@@ -45,9 +47,12 @@
         < Math.min(Math.max(1, maxLoad), concurrencyLimit.limitOf(endpoint, nowNanos));
   }
 
-  /** Whether the endpoint's history is below its bound, where that counts. */
-  boolean isWithinHistory(Endpoint endpoint, boolean isLocal, long nowNanos) {
+  /**
+   * Whether the endpoint's recent attempts are below their bound, or are not bounded at present.
+   */
+  boolean isWithinRecentBound(Endpoint endpoint, boolean isLocal, long nowNanos) {
     double attempts = inFlightTime.recentAttempts(endpoint, nowNanos) + 0.5;
-    return !isHistoryBinding || attempts < (isLocal ? maxLocalHistory : maxRemoteHistory);
+    return !isRecentBoundActive
+        || attempts < (isLocal ? maxLocalRecentAttempts : maxRemoteRecentAttempts);
   }
 }
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -4,28 +4,30 @@
 import loadbalancer.policy.settings.ServiceRules;
 
 /**
- * Slow start: an endpoint that restarted gets traffic in the measure in which it warms up. Its
- * capacity is taken to grow evenly from the initial fraction to the whole, over the longest warm-up
- * that the service's rules allow.
+ * Slow start: limits the traffic to a restarted endpoint according to how far it has warmed up. Its
+ * capacity is assumed to grow linearly from the initial fraction to the full capacity, over the
+ * longest warm-up that the service's rules allow.
  *
- * <p>A token bucket for each endpoint bounds what it is forwarded, by its capacity and by what a
- * warm endpoint gets on average. Each request that would be forwarded to it takes a part of a
- * token, and an attempt is forwarded once whole parts are together. With whole tokens, a hundred
- * balancers could each save one in a lull and forward a hundred requests at once.
+ * <p>Each endpoint has a token bucket; a token stands for an attempt of average load. The bucket
+ * fills at the average rate of a warm endpoint times the endpoint's current fraction of its
+ * capacity. Each request that would be forwarded to the endpoint takes a fraction of a token, and
+ * an attempt is forwarded once the fractions add up to a whole token. If requests took whole
+ * tokens, a hundred balancers could each save one token during a pause in traffic and then forward
+ * a hundred requests at once.
  *
  * <p>Called by {@link BoundedLoadPlacement}.
  */
 final class SlowStart {
-  /** The fraction of the overload window whose tokens a bucket holds at most. */
+  /** A bucket holds at most the tokens of this fraction of the overload window. */
   private static final double MAX_BURST_IN_OVERLOAD_WINDOWS = 0.25;
 
   /**
-   * Attempts that a warming endpoint always gets, of all balancers together: a fleet that is
-   * warming up as a whole would wait for traffic before it allowed any.
+   * The rate that a warming endpoint is always allowed, over all balancers together. Without it, a
+   * fleet in which all endpoints are warming up would wait for traffic before it allowed any.
    */
   private static final double MIN_ATTEMPTS_PER_SECOND = 2;
 
-  /** The decay of the recent rate: longer than most outages. */
+  /** The time over which the recent rate decays; longer than most outages. */
   private static final long RATE_DECAY_NANOS = 30_000_000_000L;
 
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
@@ -35,24 +37,24 @@
   private final TrafficStatistics traffic;
   private final double minAttemptsPerSecond;
 
-  /** Requests that this balancer admits in a second; falls slowly when traffic stops. */
+  /** The rate at which this balancer admits requests; falls slowly when traffic stops. */
   private double recentRequestsPerSecond;
 
-  /** What slow start keeps for one endpoint. */
+  /** The slow-start state of one endpoint. */
   static final class State {
-    private final TokenBucket budget = new TokenBucket();
+    private final TokenBucket tokenBucket = new TokenBucket();
 
-    /** The part of an attempt that requests have taken out of the budget. */
+    /** The tokens that requests have taken out of the bucket, less those of forwarded attempts. */
     private double credit;
 
-    /** Starts with an empty budget and the given part of an attempt. */
+    /** Empties the bucket and sets the credit, in tokens. */
     void reset(double initialCredit, long nowNanos) {
-      budget.reset(nowNanos);
+      tokenBucket.reset(nowNanos);
       credit = initialCredit;
     }
   }
 
-  /** Slow start for one balancer of a group that restarts endpoints under the given rules. */
+  /** Creates the slow start of one of {@code groupSize} balancers, which share the minimum rate. */
   SlowStart(
       ServiceRules rules, int groupSize, EndpointRegistry registry, TrafficStatistics traffic) {
     this.rules = rules;
@@ -61,12 +63,12 @@
     minAttemptsPerSecond = MIN_ATTEMPTS_PER_SECOND / groupSize;
   }
 
-  /** Whether the endpoint is still warming up. */
+  /** Whether the endpoint may still be below its full capacity. */
   boolean isWarmingUp(Endpoint endpoint, long nowNanos) {
     return capacityFraction(endpoint, nowNanos) < 1;
   }
 
-  /** The fraction of its capacity that the endpoint has at least. */
+  /** The fraction of its full capacity that the endpoint has at least. */
   double capacityFraction(Endpoint endpoint, long nowNanos) {
     double progress =
         Math.max(0, nowNanos - endpoint.startedAtNanos())
@@ -78,27 +80,28 @@
   }
 
   /**
-   * Takes a request's part of an attempt out of the budget of an endpoint that is warming up.
+   * Takes a fraction of a token for a request out of the bucket of an endpoint that is warming up.
    *
-   * @return whether the parts taken so far make up an attempt, which may then be forwarded
+   * @return whether the fractions taken so far add up to a whole token, so that an attempt may be
+   *     forwarded
    */
   boolean tryAcquire(Endpoint endpoint, long nowNanos) {
     State state = endpoint.slowStartState;
-    double part = Math.min(maxPart(endpoint, nowNanos), refill(endpoint, nowNanos));
-    state.budget.take(part);
-    state.credit += part;
+    double tokens = Math.min(maxTokensPerRequest(endpoint, nowNanos), refill(endpoint, nowNanos));
+    state.tokenBucket.take(tokens);
+    state.credit += tokens;
     return state.credit >= 1;
   }
 
-  /** Notes an attempt that was forwarded. */
+  /** Charges a forwarded attempt, of the given load in average requests, to a warming endpoint. */
   void attemptStarted(Endpoint endpoint, double load, long nowNanos) {
     if (isWarmingUp(endpoint, nowNanos)) {
       endpoint.slowStartState.credit -= load;
     }
   }
 
-  /** The most that one request takes, and that a bucket can hold at least. */
-  private double maxPart(Endpoint endpoint, long nowNanos) {
+  /** The most tokens that one request takes; also the smallest size of a bucket. */
+  private double maxTokensPerRequest(Endpoint endpoint, long nowNanos) {
     return Math.min(1, Math.max(capacityFraction(endpoint, nowNanos), minAttemptsPerSecond));
   }
 
@@ -106,27 +109,29 @@
     double warmEndpointRate =
         recentRequestsPerSecond
             * (registry.isLocal(endpoint)
-                ? registry.localEndpointFraction()
+                ? registry.localEndpointTrafficFraction()
                 : 1.0 / Math.max(1, registry.readyCount()));
     double tokensPerSecond =
         Math.max(minAttemptsPerSecond, capacityFraction(endpoint, nowNanos) * warmEndpointRate);
     double burstSeconds =
         MAX_BURST_IN_OVERLOAD_WINDOWS * rules.overloadWindowNanos() / NANOS_PER_SECOND;
-    return endpoint.slowStartState.budget.refill(
+    return endpoint.slowStartState.tokenBucket.refill(
         nowNanos,
         tokensPerSecond,
-        Math.max(maxPart(endpoint, nowNanos), tokensPerSecond * burstSeconds));
+        Math.max(maxTokensPerRequest(endpoint, nowNanos), tokensPerSecond * burstSeconds));
   }
 
   /**
-   * Lets the recent rate follow the present one: up at once, down slowly.
+   * Updates the recent request rate: it follows a rise at once and a fall slowly.
    *
    * @param elapsedNanos the time since the last call
    */
   void updateRecentRate(double elapsedNanos, long nowNanos) {
-    double presentRate =
+    double currentRequestsPerSecond =
         traffic.fleetTotal(Metric.ADMITTED, nowNanos) * NANOS_PER_SECOND / traffic.windowNanos();
     recentRequestsPerSecond =
-        Math.max(recentRequestsPerSecond * (1 - elapsedNanos / RATE_DECAY_NANOS), presentRate);
+        Math.max(
+            recentRequestsPerSecond * (1 - elapsedNanos / RATE_DECAY_NANOS),
+            currentRequestsPerSecond);
   }
 }
--- a/src/test/java/loadbalancer/policy/BoundedLoadPlacementTest.java
+++ b/src/test/java/loadbalancer/policy/BoundedLoadPlacementTest.java
@@ -14,11 +14,11 @@
 import loadbalancer.policy.settings.PolicySettings;
 import org.junit.jupiter.api.Test;
 
-/** How far the requests of a key or a zone spread over endpoints. */
+/** How the requests of a key or a zone are distributed over endpoints. */
 class BoundedLoadPlacementTest {
 
   @Test
-  void hotKeySpreadsUnderTheLoadBound() {
+  void hotKeyIsSpreadWithinTheLoadBound() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(5);
     Map<Long, Integer> inFlightByEndpoint = new HashMap<>();
     for (int i = 0; i < 40; i++) {
@@ -26,14 +26,17 @@
           PolicyDriver.forwardedTo(driver.requestArrives(driver.nextRequestId(), "hot"));
       int inFlight = inFlightByEndpoint.merge(endpointId, 1, Integer::sum);
       int bound = (int) Math.ceil(2.0 * (i + 1) / 5);
-      assertTrue(inFlight <= bound, inFlight + " in flight over a bound of " + bound);
+      assertTrue(inFlight <= bound, inFlight + " in flight, bound " + bound);
     }
     assertTrue(inFlightByEndpoint.size() >= 3);
   }
 
-  /** With hundreds of balancers that have hardly a request each, in-flight counts bound nothing. */
+  /**
+   * With hundreds of balancers and hardly a request in flight at each, bounds on the load in flight
+   * have no effect.
+   */
   @Test
-  void hotKeyOfASparseBalancerIsBoundedByInFlightTimeOfTheRecentPast() {
+  void hotKeyUnderSparseTrafficIsBoundedByRecentInFlightTime() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(12);
     Map<Long, Integer> forwardedByEndpoint = new HashMap<>();
     for (int i = 0; i < 120; i++) {
@@ -42,12 +45,15 @@
       driver.advance(millis(30));
     }
     int max = forwardedByEndpoint.values().stream().mapToInt(n -> n).max().getAsInt();
-    assertTrue(max <= 2 * 10 + 3, "forwarded to one endpoint of 12, of 120: " + max);
+    assertTrue(max <= 2 * 10 + 3, "of 120 requests forwarded to one of 12 endpoints: " + max);
   }
 
-  /** In-flight time counts rather than requests, or a slow endpoint would get as many as a fast. */
+  /**
+   * The recent in-flight time is bounded, not the number of recent requests: a slow endpoint would
+   * otherwise get as many requests as a fast one.
+   */
   @Test
-  void slowEndpointGetsFewerRequestsOfASparseBalancer() {
+  void slowEndpointGetsFewerRequestsUnderSparseTraffic() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(4);
     long slow = driver.serveRequest("hot", millis(20));
     int forwardedToSlow = 0;
@@ -62,12 +68,12 @@
     }
     assertTrue(
         forwardedToSlow > 5 && forwardedToSlow < 60,
-        "forwarded to the slow endpoint of 200: " + forwardedToSlow);
+        "of 200 requests forwarded to the slow endpoint: " + forwardedToSlow);
   }
 
-  /** Traffic stays in the zone only up to the zone's part of the fleet. */
+  /** Traffic stays in the zone only up to the zone's fraction of the fleet. */
   @Test
-  void zoneLeftWithOneEndpointGetsItsFractionOfTheTrafficOnly() {
+  void zoneWithOneEndpointLeftGetsOnlyItsFractionOfTheTraffic() {
     PolicySettings settings = new TestSettings().balancer(0, 100, "a").crossZoneCost(0.05).build();
     PolicyDriver driver = new PolicyDriver(settings);
     EndpointDescriptor[] oneInZoneA =
@@ -80,10 +86,13 @@
       local += driver.serveRequest("k" + i, millis(20)) == 0 ? 1 : 0;
       driver.advance(millis(30));
     }
-    assertTrue(local >= 20 && local <= 90, "forwarded within the zone of 200: " + local);
+    assertTrue(local >= 20 && local <= 90, "of 200 requests forwarded within the zone: " + local);
   }
 
-  /** An endpoint serves a key faster that it served recently: each move under load adds load. */
+  /**
+   * An endpoint serves a key faster if it served the key recently. Each move of a key under high
+   * load therefore adds load.
+   */
   @Test
   void keyStaysOnFewEndpointsUnderHighLoad() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(12);
@@ -98,6 +107,6 @@
       driver.advanceCompletingAttempts(millis(1), AttemptStatus.SERVED, millis(200));
     }
     double mean = endpointsByKey.values().stream().mapToInt(Set::size).average().getAsDouble();
-    assertTrue(mean <= 3.5, "endpoints of a key: " + mean);
+    assertTrue(mean <= 3.5, "mean endpoints per key: " + mean);
   }
 }
--- a/src/test/java/loadbalancer/policy/EndpointRegistryTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointRegistryTest.java
@@ -6,7 +6,7 @@
 import loadbalancer.policy.event.EndpointListUpdate;
 import org.junit.jupiter.api.Test;
 
-/** What updates of the endpoint list change. */
+/** How updates of the endpoint list change which endpoints get requests. */
 class EndpointRegistryTest {
 
   @Test
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void removedEndpointThatStartsAgainIsUsedAgain() {
+  void removedEndpointIsUsedAgainAfterItRestarts() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(1);
     driver.updateEndpoints(EndpointListUpdate.Kind.FULL);
     assertEquals(PolicyDriver.NOT_FORWARDED, driver.serveRequest("k", millis(1)));
--- a/src/test/java/loadbalancer/policy/HashRingTest.java
+++ b/src/test/java/loadbalancer/policy/HashRingTest.java
@@ -10,7 +10,7 @@
 import loadbalancer.policy.event.EndpointListUpdate;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoint owns a key, and what a change of the endpoint list moves. */
+/** Which endpoint owns a key, and which keys an update of the endpoint list moves. */
 class HashRingTest {
 
   private static Map<String, Long> ownerByKey(PolicyDriver driver, int keys) {
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void keysSpreadEvenlyAndARemovedEndpointMovesOnlyItsOwn() {
+  void keysSpreadEvenlyAndRemovingAnEndpointMovesOnlyItsKeys() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(10);
     Map<String, Long> before = ownerByKey(driver, 2000);
     Map<Long, Integer> keysByEndpoint = new HashMap<>();
@@ -31,7 +31,7 @@
     keysByEndpoint
         .values()
         .forEach(
-            keys -> assertTrue(keys > 120 && keys < 300, "keys of one endpoint of 10: " + keys));
+            keys -> assertTrue(keys > 120 && keys < 300, "keys of one of 10 endpoints: " + keys));
 
     driver.updateEndpoints(EndpointListUpdate.Kind.DELTA, TestEndpoints.removed(103));
 
--- a/src/test/java/loadbalancer/policy/TestEndpoints.java
+++ b/src/test/java/loadbalancer/policy/TestEndpoints.java
@@ -4,7 +4,8 @@
 import loadbalancer.policy.event.EndpointStatus;
 
 /**
- * Entries of an endpoint list: of zone a, cell 0 and weight 1, up for long, unless named otherwise.
+ * Creates entries of an endpoint list. Unless stated otherwise, an endpoint is in zone a and
+ * deduplication cell 0, has weight 1 and started long ago.
  */
 final class TestEndpoints {
 
@@ -22,7 +23,7 @@
     return new EndpointDescriptor(endpointId, "a", 0, EndpointStatus.REMOVED, 0, 1);
   }
 
-  /** A ready endpoint that started at this clock reading and is warming up. */
+  /** A ready endpoint that restarted at the given clock reading. */
   static EndpointDescriptor restarted(long endpointId, long startedNanos) {
     return new EndpointDescriptor(endpointId, "a", 0, EndpointStatus.READY, startedNanos, 1);
   }
@@ -31,7 +32,7 @@
     return new EndpointDescriptor(endpointId, zone, deduplicationCell, EndpointStatus.READY, 0, 1);
   }
 
-  /** Ready endpoints with the ids 0, 1, 2 ..., one of each zone in turn, each a cell of its own. */
+  /** Ready endpoints with ids from 0, in the zones by turns, each in a cell of its own. */
   static EndpointDescriptor[] spreadOverZones(int count, String... zones) {
     EndpointDescriptor[] endpoints = new EndpointDescriptor[count];
     for (int i = 0; i < count; i++) {
