--- a/src/test/java/loadbalancer/policy/SimulatedEndpoint.java
+++ b/src/test/java/loadbalancer/policy/SimulatedEndpoint.java
@@ -11,8 +11,9 @@
 import loadbalancer.policy.settings.ServiceRules;
 
 /**
- * An endpoint of two cores that serves in order of arrival, at less speed while it warms up after a
- * restart. From then on it records the work forwarded to it. Work is in requests of mean work.
+ * An endpoint with two cores that serves requests in order of arrival, more slowly while it warms
+ * up after a restart. It records the work forwarded to it since its restart. The unit of work is
+ * the mean work of a request.
  */
 final class SimulatedEndpoint {
 
@@ -21,15 +22,15 @@
   /** How long a core of a warm endpoint takes for a request of mean work. */
   static final long MEAN_WORK_NANOS = millis(50);
 
-  /** Requests a second that a warm endpoint can serve. */
+  /** The rate at which a warm endpoint can serve requests of mean work. */
   static final double CAPACITY_PER_SECOND = CORES * (double) seconds(1) / MEAN_WORK_NANOS;
 
-  /** Requests a second that a warm endpoint usually gets. */
-  static final double USUAL_LOAD_PER_SECOND = 0.6 * CAPACITY_PER_SECOND;
+  /** The rate at which a warm endpoint gets requests under normal traffic. */
+  static final double NORMAL_LOAD_PER_SECOND = 0.6 * CAPACITY_PER_SECOND;
 
   private static final long FAILURE_LATENCY_NANOS = millis(2);
 
-  /** When an attempt completes, and how. */
+  /** When an attempt completes, and with which status. */
   record Completion(long atNanos, AttemptStatus status) {}
 
   private record ForwardedWork(long atNanos, double work) {}
@@ -40,7 +41,7 @@
   private EndpointDescriptor descriptor;
   private AttemptStatus status = AttemptStatus.SERVED;
 
-  /** An endpoint that has been up for long. */
+  /** Creates a warm endpoint. */
   SimulatedEndpoint(long endpointId, String zone, ServiceRules serviceRules) {
     this.serviceRules = serviceRules;
     descriptor = descriptor(endpointId, zone, 0);
@@ -60,12 +61,15 @@
     forwardedSinceRestart.clear();
   }
 
-  /** From now on every attempt ends with the status; a time-out is silence until the deadline. */
-  void endEveryAttemptWith(AttemptStatus newStatus) {
+  /**
+   * Completes every later attempt with the status; {@code TIMEOUT} means no response by the
+   * deadline.
+   */
+  void completeEveryAttemptWith(AttemptStatus newStatus) {
     status = newStatus;
   }
 
-  /** Takes an attempt; when it completes, and how. */
+  /** Accepts an attempt and returns its completion. */
   Completion serve(long nowNanos, double work, long deadlineNanos) {
     if (hasRestarted()) {
       forwardedSinceRestart.add(new ForwardedWork(nowNanos, work));
@@ -88,7 +92,7 @@
     return descriptor.startedNanos() != 0;
   }
 
-  /** The fraction of its capacity that the endpoint has: it grows evenly while it warms up. */
+  /** The current fraction of the full capacity; grows linearly while the endpoint warms up. */
   private double capacityFraction(long nowNanos) {
     double progress = (nowNanos - descriptor.startedNanos()) / (double) serviceRules.warmUpNanos();
     return !hasRestarted() || progress >= 1
@@ -97,7 +101,8 @@
   }
 
   /**
-   * The work that an endpoint of this capacity withstands in one overload window, chance included.
+   * The most work in one overload window that does not overload an endpoint of this capacity. For
+   * random variation, it adds two standard deviations of a Poisson distribution, plus 2.
    */
   static double overloadThreshold(ServiceRules serviceRules, double capacityFraction) {
     double work =
@@ -109,7 +114,7 @@
     return work + 2 * Math.sqrt(work) + 2;
   }
 
-  /** The most work forwarded in one overload window since the restart, over its threshold. */
+  /** The most work forwarded in one overload window since the restart, divided by its threshold. */
   double maxOverloadRatio() {
     double max = 0;
     double work = 0;
@@ -128,7 +133,7 @@
     return max;
   }
 
-  /** The work forwarded while it was warming up. */
+  /** The work forwarded to the endpoint while it was warming up. */
   double warmUpWork() {
     long endNanos = descriptor.startedNanos() + serviceRules.warmUpNanos();
     return forwardedSinceRestart.stream()
@@ -137,11 +142,14 @@
         .sum();
   }
 
-  /** The usual work of a restarted endpoint's whole warm-up, at its capacity's mean; else 0. */
-  double usualWarmUpWork() {
+  /**
+   * The work of the normal load over the whole warm-up, at the mean capacity of the warm-up; 0 if
+   * the endpoint has not restarted.
+   */
+  double expectedWarmUpWork() {
     return !hasRestarted()
         ? 0
-        : USUAL_LOAD_PER_SECOND
+        : NORMAL_LOAD_PER_SECOND
             * (1 + serviceRules.initialCapacityFraction())
             / 2
             * serviceRules.warmUpNanos()
--- a/src/test/java/loadbalancer/policy/SimulatedFleet.java
+++ b/src/test/java/loadbalancer/policy/SimulatedFleet.java
@@ -26,8 +26,8 @@
 import loadbalancer.policy.settings.ServiceRules;
 
 /**
- * A simulation of many balancers that share nothing but the clock and the endpoints. The same seed
- * gives the same run. Times named in seconds count from the start of the simulation.
+ * A discrete-event simulation of many balancers that share only the clock and the endpoints. It is
+ * deterministic for a seed. Times in seconds are relative to the start of the simulation.
  */
 final class SimulatedFleet {
 
@@ -38,17 +38,17 @@
   private static final long START_NANOS = seconds(1000);
   private static final long MAX_NOTIFICATION_DELAY_NANOS = millis(100);
 
-  /** A twentieth of the requests is of this work; the rest makes the mean 1. */
+  /** The work of a heavy request; light requests have less, so that the mean work is 1. */
   private static final double HEAVY_WORK = 4;
 
   private static final double HEAVY_FRACTION = 0.05;
   private static final double LIGHT_WORK = (1 - HEAVY_FRACTION * HEAVY_WORK) / (1 - HEAVY_FRACTION);
 
-  /** Something to run at a time; what is scheduled first runs first where times are equal. */
-  private record Step(long atNanos, long sequenceNumber, Runnable action) {}
+  /** A task to run at a given time; of tasks with equal times, the first scheduled runs first. */
+  private record ScheduledTask(long atNanos, long sequenceNumber, Runnable task) {}
 
-  /** One life of a balancer, from its start to its restart. */
-  private record Balancer(int index, int life, LoadBalancingPolicy policy) {}
+  /** One incarnation of a balancer, from its start to its restart. */
+  private record Balancer(int index, int incarnation, LoadBalancingPolicy policy) {}
 
   private static final class SimulatedRequest {
     final double work;
@@ -62,12 +62,13 @@
     }
   }
 
-  /** By id, which is unique over the whole fleet, and over a balancer's restarts. */
+  /** By request id, which is unique over all balancers and their restarts. */
   private final Map<String, SimulatedRequest> requests = new HashMap<>();
 
-  private final PriorityQueue<Step> steps =
+  private final PriorityQueue<ScheduledTask> scheduledTasks =
       new PriorityQueue<>(
-          Comparator.comparingLong(Step::atNanos).thenComparingLong(Step::sequenceNumber));
+          Comparator.comparingLong(ScheduledTask::atNanos)
+              .thenComparingLong(ScheduledTask::sequenceNumber));
   private final Balancer[] balancers;
   private final SimulatedEndpoint[] endpoints = new SimulatedEndpoint[ENDPOINTS];
   private final SplittableRandom random;
@@ -75,10 +76,10 @@
   private final double crossZoneCost;
   private DoubleUnaryOperator trafficAtSecond = second -> 1;
   private long nowNanos = START_NANOS;
-  private long scheduledSteps;
+  private long scheduledTaskCount;
   private long arrivedRequests;
 
-  /** Starts the balancers, which know all endpoints, and the usual traffic. */
+  /** Starts the balancers, each with the full endpoint list, and the normal traffic. */
   SimulatedFleet(int balancerCount, ServiceRules serviceRules, double crossZoneCost, long seed) {
     this.serviceRules = serviceRules;
     this.crossZoneCost = crossZoneCost;
@@ -97,32 +98,32 @@
     return ZONES[index % ZONES.length];
   }
 
-  /** Sets the traffic at each second, as a multiple of the usual. */
+  /** Sets the traffic as a function of the time in seconds, as a multiple of the normal traffic. */
   void setTraffic(DoubleUnaryOperator newTrafficAtSecond) {
     trafficAtSecond = newTrafficAtSecond;
   }
 
-  void schedule(double second, Runnable action) {
-    scheduleAt(START_NANOS + (long) (second * seconds(1)), action);
+  void schedule(double second, Runnable task) {
+    scheduleAt(START_NANOS + (long) (second * seconds(1)), task);
   }
 
-  private void scheduleAt(long atNanos, Runnable action) {
-    steps.add(new Step(Math.max(nowNanos, atNanos), scheduledSteps++, action));
+  private void scheduleAt(long atNanos, Runnable task) {
+    scheduledTasks.add(new ScheduledTask(Math.max(nowNanos, atNanos), scheduledTaskCount++, task));
   }
 
   void runUntil(double second) {
     long endNanos = START_NANOS + (long) (second * seconds(1));
-    while (!steps.isEmpty() && steps.peek().atNanos <= endNanos) {
-      Step step = steps.poll();
-      nowNanos = step.atNanos;
-      step.action.run();
+    while (!scheduledTasks.isEmpty() && scheduledTasks.peek().atNanos <= endNanos) {
+      ScheduledTask next = scheduledTasks.poll();
+      nowNanos = next.atNanos;
+      next.task.run();
     }
     nowNanos = endNanos;
   }
 
-  // ---- What happens to the fleet
+  // ---- Disruptions
 
-  /** Starts a balancer, or starts it again with nothing of its state; its attempts are lost. */
+  /** Starts a balancer, or restarts it without any state, so that its pending attempts are lost. */
   void restartBalancer(int index) {
     PolicySettings settings =
         new TestSettings()
@@ -130,16 +131,17 @@
             .serviceRules(serviceRules)
             .crossZoneCost(crossZoneCost)
             .build();
-    int life = balancers[index] == null ? 1 : balancers[index].life + 1;
+    int incarnation = balancers[index] == null ? 1 : balancers[index].incarnation + 1;
     balancers[index] =
-        new Balancer(index, life, new AdaptiveLoadBalancingPolicy(settings, random.nextLong()));
+        new Balancer(
+            index, incarnation, new AdaptiveLoadBalancingPolicy(settings, random.nextLong()));
     List<EndpointDescriptor> list =
         Stream.of(endpoints).map(SimulatedEndpoint::descriptor).toList();
     handle(balancers[index], new EndpointListUpdate(EndpointListUpdate.Kind.CACHED, list));
     handle(balancers[index], new EndpointListUpdate(EndpointListUpdate.Kind.FULL, list));
   }
 
-  /** Restarts an endpoint; each balancer is notified within a tenth of a second. */
+  /** Restarts an endpoint; each balancer is notified after a random delay of up to 100 ms. */
   void restartEndpoint(int index) {
     endpoints[index].restart(nowNanos);
     EndpointListUpdate update =
@@ -154,10 +156,10 @@
   }
 
   void failEndpoint(int index, AttemptStatus status) {
-    endpoints[index].endEveryAttemptWith(status);
+    endpoints[index].completeEveryAttemptWith(status);
   }
 
-  /** So many requests beside the traffic, spread evenly over all balancers and so long. */
+  /** Adds requests to the traffic, evenly over the balancers and at random within the duration. */
   void burst(int count, long durationNanos) {
     for (int i = 0; i < count; i++) {
       int balancer = i % balancers.length;
@@ -168,48 +170,52 @@
 
   // ---- Results
 
-  /** The most work that a restarted endpoint got in one overload window, over its threshold. */
+  /** The most work in one overload window at any restarted endpoint, divided by its threshold. */
   double maxOverloadRatio() {
     return Stream.of(endpoints).mapToDouble(SimulatedEndpoint::maxOverloadRatio).max().orElse(0);
   }
 
-  /** The work that restarted endpoints got while warming up, over the usual at their capacity. */
+  /** The work that warming endpoints got, divided by the work expected at their capacity. */
   double warmUpUtilization() {
     double work = 0;
-    double usualWork = 0;
+    double expectedWork = 0;
     for (SimulatedEndpoint endpoint : endpoints) {
       work += endpoint.warmUpWork();
-      usualWork += endpoint.usualWarmUpWork();
+      expectedWork += endpoint.expectedWarmUpWork();
     }
-    return work / usualWork;
+    return work / expectedWork;
   }
 
   // ---- Requests
 
-  /** One request of the traffic, if there is any; some balancers get five times what others get. */
+  /**
+   * Has one request arrive, unless the traffic is 0, and schedules the next arrival. Some balancers
+   * get five times the traffic of the others.
+   */
   private void requestArrives() {
     double traffic = trafficAtSecond.applyAsDouble((nowNanos - START_NANOS) / (double) seconds(1));
     if (traffic > 0) {
       int index = random.nextInt(balancers.length);
-      while (!isPreferred(index) && random.nextInt(5) > 0) {
+      while (!hasHighTraffic(index) && random.nextInt(5) > 0) {
         index = random.nextInt(balancers.length);
       }
       requestArrivesAt(balancers[index]);
     }
-    double usualPerSecond = SimulatedEndpoint.USUAL_LOAD_PER_SECOND * ENDPOINTS;
+    double normalRequestsPerSecond = SimulatedEndpoint.NORMAL_LOAD_PER_SECOND * ENDPOINTS;
     double gapSeconds =
-        -Math.log(1 - random.nextDouble()) / (usualPerSecond * (traffic > 0 ? traffic : 1));
+        -Math.log(1 - random.nextDouble())
+            / (normalRequestsPerSecond * (traffic > 0 ? traffic : 1));
     scheduleAt(nowNanos + (long) (gapSeconds * seconds(1)), this::requestArrives);
   }
 
-  /** Whether a balancer is one of the tenth, in all zones, that most traffic goes to. */
-  private static boolean isPreferred(int index) {
+  /** Whether a balancer is one of the tenth, spread over all zones, with five times the traffic. */
+  private static boolean hasHighTraffic(int index) {
     return index % 10 == index / 10 % 10;
   }
 
   private void requestArrivesAt(Balancer balancer) {
     double work = random.nextDouble() < HEAVY_FRACTION ? HEAVY_WORK : LIGHT_WORK;
-    String requestId = balancer.index + "." + balancer.life + "." + arrivedRequests++;
+    String requestId = balancer.index + "." + balancer.incarnation + "." + arrivedRequests++;
     long deadlineNanos = nowNanos + TestSettings.DEADLINE_NANOS;
     requests.put(requestId, new SimulatedRequest(work, deadlineNanos));
     handle(
@@ -239,7 +245,7 @@
   }
 
   private void handleUnlessRestarted(Balancer balancer, Event event) {
-    if (balancers[balancer.index].life == balancer.life) {
+    if (balancers[balancer.index].incarnation == balancer.incarnation) {
       handle(balancer, event);
     }
   }
--- a/src/test/java/loadbalancer/policy/SlowStartFleetTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartFleetTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Slow start over a whole fleet: a restarted endpoint is overloaded by what all balancers forward
- * to it together, and none of them knows of another.
+ * Slow start over a simulated fleet: the sum of what all balancers forward to a restarted endpoint
+ * must not overload it, although no balancer knows of the others.
  */
 class SlowStartFleetTest {
 
@@ -44,28 +44,28 @@
         overloadWindowNanos);
   }
 
-  /** One cause of crowding at a restarted endpoint, scheduled before the simulation runs. */
-  private interface Trouble {
+  /** An event that may overload a restarted endpoint, scheduled before the simulation runs. */
+  private interface Disruption {
     void schedule(SimulatedFleet fleet, Scenario scenario);
   }
 
-  /** A fleet of which some endpoints restart, and what else happens to it. */
+  /** A fleet of which some endpoints restart, and one further disruption. */
   private record Scenario(
       String name,
       ServiceRules serviceRules,
       int balancers,
       int restarted,
       double crossZoneCost,
-      Trouble trouble) {
+      Disruption disruption) {
 
-    /** A scenario with cross-zone traffic for free. */
+    /** A scenario in which cross-zone traffic costs nothing. */
     static Scenario of(
-        String name, ServiceRules rules, int balancers, int restarted, Trouble trouble) {
-      return new Scenario(name, rules, balancers, restarted, 0, trouble);
+        String name, ServiceRules rules, int balancers, int restarted, Disruption disruption) {
+      return new Scenario(name, rules, balancers, restarted, 0, disruption);
     }
 
     Scenario preferringLocalZone() {
-      return new Scenario(name, serviceRules, balancers, restarted, CROSS_ZONE_COST, trouble);
+      return new Scenario(name, serviceRules, balancers, restarted, CROSS_ZONE_COST, disruption);
     }
 
     @Override
@@ -86,26 +86,27 @@
         int endpoint = i * 5 % SimulatedFleet.ENDPOINTS;
         fleet.schedule(RESTART_SECOND, () -> fleet.restartEndpoint(endpoint));
       }
-      trouble.schedule(fleet, this);
+      disruption.schedule(fleet, this);
       fleet.runUntil(RESTART_SECOND + serviceRules.warmUpNanos() / 1e9);
       return fleet;
     }
   }
 
-  private static final Trouble NONE = (fleet, scenario) -> {};
+  private static final Disruption NO_DISRUPTION = (fleet, scenario) -> {};
 
-  /** Three seconds of two and a half times the usual traffic. */
-  private static Trouble burstAfter(double seconds) {
+  /** 2.5 times the normal traffic for 3 s, starting at a time relative to the restart. */
+  private static Disruption burstAfter(double seconds) {
     double start = RESTART_SECOND + seconds;
     return (fleet, scenario) ->
         fleet.setTraffic(second -> second >= start && second < start + 3 ? 2.5 : 1);
   }
 
   /**
-   * No traffic from the restart on, then in a fifth of a second what warm endpoints withstand but
-   * for chance.
+   * No traffic from the restart on, then a burst of 200 ms. For each endpoint, it has 0.6 times as
+   * many requests as the overload threshold of a warm endpoint. Warm endpoints withstand that
+   * unless chance distributes the requests very unevenly.
    */
-  private static Trouble lullOf(double seconds) {
+  private static Disruption trafficPauseOf(double seconds) {
     double end = RESTART_SECOND + seconds;
     return (fleet, scenario) -> {
       fleet.setTraffic(second -> second >= RESTART_SECOND && second < end ? 0 : 1);
@@ -115,7 +116,7 @@
     };
   }
 
-  private static Trouble balancersRestartAfter(double seconds, int everyNth) {
+  private static Disruption balancersRestartAfter(double seconds, int everyNth) {
     return (fleet, scenario) -> {
       for (int i = 0; i < scenario.balancers; i += everyNth) {
         int balancer = i;
@@ -124,7 +125,7 @@
     };
   }
 
-  private static Trouble endpointsFailWith(AttemptStatus status, int count) {
+  private static Disruption endpointsFailWith(AttemptStatus status, int count) {
     return (fleet, scenario) -> {
       for (int i = 0; i < count; i++) {
         int endpoint = SimulatedFleet.ENDPOINTS - 1 - i;
@@ -135,60 +136,71 @@
 
   static Stream<Scenario> scenarios() {
     return Stream.of(
-            IntStream.of(30, 100).boxed().flatMap(SlowStartFleetTest::scenariosOfAnySize),
-            scenariosOfOneSize())
+            IntStream.of(30, 100).boxed().flatMap(SlowStartFleetTest::scenariosForEachFleetSize),
+            scenariosForSingleFleetSizes())
         .flatMap(scenarios -> scenarios);
   }
 
-  private static Stream<Scenario> scenariosOfAnySize(int balancers) {
+  private static Stream<Scenario> scenariosForEachFleetSize(int balancers) {
     List<Scenario> scenarios = new ArrayList<>();
     for (int restarted : new int[] {1, 4, 12}) {
-      scenarios.add(Scenario.of("plain", SHORT_WINDOW, balancers, restarted, NONE));
+      scenarios.add(
+          Scenario.of("no disruption", SHORT_WINDOW, balancers, restarted, NO_DISRUPTION));
     }
-    scenarios.add(Scenario.of("plain", SHORT_WINDOW, balancers, 1, NONE).preferringLocalZone());
+    scenarios.add(
+        Scenario.of("no disruption", SHORT_WINDOW, balancers, 1, NO_DISRUPTION)
+            .preferringLocalZone());
     for (int seconds : new int[] {0, 1, 2, 4, 8, 12}) {
       Scenario burst =
-          Scenario.of("burst after " + seconds, SHORT_WINDOW, balancers, 1, burstAfter(seconds));
+          Scenario.of(
+              "burst after " + seconds + " s", SHORT_WINDOW, balancers, 1, burstAfter(seconds));
       scenarios.add(seconds % 4 == 0 ? burst.preferringLocalZone() : burst);
     }
-    scenarios.addAll(scenariosOfFailures(balancers));
+    scenarios.addAll(failureScenarios(balancers));
     for (ServiceRules rules : List.of(SHORT_WINDOW, LONG_WINDOW, FAST_WARM_UP)) {
       double halfWarmUpSeconds = rules.warmUpNanos() / 2e9;
-      scenarios.add(Scenario.of("lull of 2", rules, balancers, 1, lullOf(2)));
+      scenarios.add(Scenario.of("traffic pause of 2 s", rules, balancers, 1, trafficPauseOf(2)));
+      scenarios.add(
+          Scenario.of(
+              "traffic pause of half the warm-up",
+              rules,
+              balancers,
+              1,
+              trafficPauseOf(halfWarmUpSeconds)));
       scenarios.add(
-          Scenario.of("lull of half the warm-up", rules, balancers, 1, lullOf(halfWarmUpSeconds)));
-      scenarios.add(Scenario.of("lull of 2", rules, balancers, 4, lullOf(2)).preferringLocalZone());
+          Scenario.of("traffic pause of 2 s", rules, balancers, 4, trafficPauseOf(2))
+              .preferringLocalZone());
     }
     return scenarios.stream();
   }
 
-  private static List<Scenario> scenariosOfFailures(int balancers) {
+  private static List<Scenario> failureScenarios(int balancers) {
     return List.of(
         Scenario.of(
-            "balancers restart", SHORT_WINDOW, balancers, 1, balancersRestartAfter(-0.2, 1)),
+            "all balancers restart", SHORT_WINDOW, balancers, 1, balancersRestartAfter(-0.2, 1)),
         Scenario.of(
             "half the balancers restart", SHORT_WINDOW, balancers, 4, balancersRestartAfter(1, 2)),
         Scenario.of(
-            "two reject all",
+            "two endpoints reject everything",
             SHORT_WINDOW,
             balancers,
             1,
             endpointsFailWith(AttemptStatus.REJECTED, 2)),
         Scenario.of(
-                "two reset all",
+                "two endpoints reset everything",
                 SHORT_WINDOW,
                 balancers,
                 1,
                 endpointsFailWith(AttemptStatus.RESET, 2))
             .preferringLocalZone(),
         Scenario.of(
-            "panic threshold",
+            "seven endpoints refuse connections: panic threshold",
             SHORT_WINDOW,
             balancers,
             1,
             endpointsFailWith(AttemptStatus.CONNECT_FAILED, 7)),
         Scenario.of(
-                "seven unresponsive",
+                "seven endpoints unresponsive",
                 SHORT_WINDOW,
                 balancers,
                 1,
@@ -196,41 +208,45 @@
             .preferringLocalZone());
   }
 
-  private static Stream<Scenario> scenariosOfOneSize() {
+  private static Stream<Scenario> scenariosForSingleFleetSizes() {
     return Stream.of(
-        Scenario.of("plain", SHORT_WINDOW, 3, 1, NONE),
-        Scenario.of("burst after 1", SHORT_WINDOW, 3, 1, burstAfter(1)),
-        Scenario.of("lull of half the warm-up", SHORT_WINDOW, 3, 1, lullOf(12)),
-        Scenario.of("lull of half the warm-up", SHORT_WINDOW, 1000, 1, lullOf(12)),
-        Scenario.of("lull of 2", SHORT_WINDOW, 1000, 1, lullOf(2)),
-        Scenario.of("burst after 1", LONG_WINDOW, 30, 4, burstAfter(1)).preferringLocalZone(),
-        Scenario.of("burst after 1", FAST_WARM_UP, 30, 4, burstAfter(1)).preferringLocalZone());
+        Scenario.of("no disruption", SHORT_WINDOW, 3, 1, NO_DISRUPTION),
+        Scenario.of("burst after 1 s", SHORT_WINDOW, 3, 1, burstAfter(1)),
+        Scenario.of("traffic pause of half the warm-up", SHORT_WINDOW, 3, 1, trafficPauseOf(12)),
+        Scenario.of("traffic pause of half the warm-up", SHORT_WINDOW, 1000, 1, trafficPauseOf(12)),
+        Scenario.of("traffic pause of 2 s", SHORT_WINDOW, 1000, 1, trafficPauseOf(2)),
+        Scenario.of("burst after 1 s", LONG_WINDOW, 30, 4, burstAfter(1)).preferringLocalZone(),
+        Scenario.of("burst after 1 s", FAST_WARM_UP, 30, 4, burstAfter(1)).preferringLocalZone());
   }
 
   @ParameterizedTest
   @MethodSource("scenarios")
-  void restartedEndpointIsNotOverloadedByAllBalancersTogether(Scenario scenario) {
+  void restartedEndpointIsNotOverloadedByTheSumOfAllBalancers(Scenario scenario) {
     double maxRatio =
         LongStream.rangeClosed(1, SEEDS)
             .mapToDouble(seed -> scenario.run(seed).maxOverloadRatio())
             .max()
             .getAsDouble();
-    assertTrue(
-        maxRatio <= 1, "work in one overload window, over the overload threshold: " + maxRatio);
+    assertTrue(maxRatio <= 1, "work in one overload window / overload threshold: " + maxRatio);
   }
 
-  static Stream<Scenario> plainScenarios() {
+  static Stream<Scenario> undisruptedScenarios() {
     return Stream.of(LONG_WINDOW, SHORT_WINDOW, FAST_WARM_UP)
         .flatMap(
             rules ->
                 Stream.of(3, 30, 100, 500)
-                    .map(balancers -> Scenario.of("plain", rules, balancers, 4, NONE)));
+                    .map(
+                        balancers ->
+                            Scenario.of("no disruption", rules, balancers, 4, NO_DISRUPTION)));
   }
 
-  /** The opposite fault: a restarted endpoint left idle by balancers that save nothing for it. */
+  /**
+   * The opposite failure: a restarted endpoint stays idle because no balancer ever collects enough
+   * tokens for an attempt.
+   */
   @ParameterizedTest
-  @MethodSource("plainScenarios")
-  void restartedEndpointGetsTheFractionOfItsWarmUpFromAllBalancersTogether(Scenario scenario) {
+  @MethodSource("undisruptedScenarios")
+  void restartedEndpointGetsTrafficInProportionToItsCapacityFromAllBalancers(Scenario scenario) {
     double utilization =
         LongStream.rangeClosed(1, SEEDS)
             .mapToDouble(seed -> scenario.run(seed).warmUpUtilization())
@@ -238,6 +254,6 @@
             .getAsDouble();
     assertTrue(
         utilization > 0.75 && utilization < 1.15,
-        "work over the usual at its capacity: " + utilization);
+        "work while warming up / work expected at its capacity: " + utilization);
   }
 }
--- a/src/test/java/loadbalancer/policy/SlowStartTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartTest.java
@@ -11,12 +11,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What one balancer forwards to an endpoint that is warming up; the fleet's sum is tested apart.
+ * What one balancer forwards to an endpoint that is warming up; {@link SlowStartFleetTest} tests
+ * the sum over many balancers.
  */
 class SlowStartTest {
 
   @Test
-  void restartedEndpointGetsTheFractionOfItsWarmUp() {
+  void restartedEndpointGetsTrafficInProportionToItsCapacity() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(9);
     serveRequests(driver, 2000, 0, millis(1));
 
@@ -29,9 +30,12 @@
         "fraction of a warm endpoint's requests: " + fraction);
   }
 
-  /** Warm endpoints of a zone serve all its traffic, so the fleet's mean is no measure of it. */
+  /**
+   * The endpoints of a zone serve all of its traffic, so the restarted one is compared with them,
+   * not with the mean over the fleet.
+   */
   @Test
-  void restartedEndpointGetsTheFractionOfItsOwnZonesTraffic() {
+  void restartedEndpointGetsItsFractionOfTheLocalZonesTraffic() {
     PolicySettings settings = new TestSettings().balancer(0, 100, "a").crossZoneCost(0.05).build();
     PolicyDriver driver = new PolicyDriver(settings);
     driver.updateEndpoints(
@@ -41,17 +45,17 @@
     restartEndpoint(driver, 0);
     List<Long> endpointIds = serveRequests(driver, 150, 0, millis(20));
 
-    // A warm endpoint gets a quarter of the 150; three seconds of eight the restarted one is at
-    // 0.3 to 0.56 of its capacity.
+    // A warm endpoint gets a quarter of the 150. In the first 3 s of its 8 s warm-up, the restarted
+    // one has 0.3 to 0.56 of its capacity.
     int toRestarted = Collections.frequency(endpointIds, 0L);
     assertTrue(
         toRestarted > 0.3 * 150 / 4 && toRestarted < 0.7 * 150 / 4,
         "forwarded to the restarted endpoint: " + toRestarted);
   }
 
-  /** A few heavy requests fill an endpoint that is warming up. */
+  /** A few heavy requests use up the capacity of an endpoint that is warming up. */
   @Test
-  void requestHintedAsHeavyTakesItsLoadOfTheSlowStartBudget() {
+  void requestHintedAsHeavyTakesMoreOfTheSlowStartBudget() {
     int light = forwardedWhileWarmingUp(millis(20));
     int heavy = forwardedWhileWarmingUp(millis(80));
     assertTrue(
@@ -71,7 +75,7 @@
         EndpointListUpdate.Kind.DELTA, TestEndpoints.restarted(endpointId, driver.nowNanos()));
   }
 
-  /** Serves requests of as many keys, one after the other; the endpoint of each. */
+  /** Serves requests one after the other, each with another key; the endpoint of each. */
   private static List<Long> serveRequests(
       PolicyDriver driver, int requests, long workHintNanos, long latencyNanos) {
     List<Long> endpointIds = new ArrayList<>();
