--- a/src/main/java/loadbalancer/policy/LoadBound.java
+++ b/src/main/java/loadbalancer/policy/LoadBound.java
@@ -36,7 +36,7 @@
         Math.ceil((1 + RECENT_ATTEMPTS_SLACK) * attempts * registry.localEndpointTrafficFraction());
     maxRemoteRecentAttempts =
         Math.ceil((1 + RECENT_ATTEMPTS_SLACK) * attempts / Math.max(1, registry.readyCount()));
-    isRecentBoundActive = inFlightTime.isSparse(registry.readyCount(), nowNanos);
+    isRecentBoundActive = inFlightTime.isTrafficSparse(registry.readyCount(), nowNanos);
   }
 
   /** Whether the endpoint's load in flight is below its bound. */
