--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -9,10 +9,11 @@
 import loadbalancer.config.EndpointList;
 
 /**
- * Keeps at most one watch of the endpoint list active, and its address and version. A watch ends in
- * one failure at most; whether and when to start another is the decision of the policy.
+ * Keeps at most one watch of the endpoint list active and remembers the service's address and the
+ * last version received. Reports the failure of a watch once and does not retry: the policy decides
+ * whether and when to start the next watch.
  *
- * <p>All state belongs to the event loop: every method is to be called there.
+ * <p>Not thread-safe: call every method on the event loop.
  */
 public final class DiscoveryClient {
 
@@ -22,19 +23,19 @@
   private final DiscoveryListener listener;
   private WatchTarget target;
 
-  /** Whether the policy wants the list to be watched, be a watch active or not. */
+  /** Whether the caller wants the list watched; stays true after the active watch has failed. */
   private boolean watchRequested;
 
-  /** The active watch; null if there is none. */
+  /** The active watch, or null. */
   private EndpointListWatch activeWatch;
 
-  /** A client that has not started a watch yet. */
+  /** Creates a client without an active watch. */
   public DiscoveryClient(
       EventLoop loop, WatchTarget target, WatchTimeouts timeouts, DiscoveryListener listener) {
     this(loop, NioSocketChannel::new, target, timeouts, listener);
   }
 
-  /** A client whose channels this factory makes. */
+  /** Creates a client whose connections use channels from this factory. */
   DiscoveryClient(
       EventLoop loop,
       ChannelFactory<Channel> channelFactory,
@@ -48,7 +49,7 @@
     this.listener = listener;
   }
 
-  /** Starts a watch, unless one is active already, or stops the active one. */
+  /** Starts a watch if none is active, or stops the active one without reporting a failure. */
   public void watch(boolean enabled) {
     watchRequested = enabled;
     if (!enabled) {
@@ -59,9 +60,10 @@
   }
 
   /**
-   * Watches the list at another address from now on. The watch there starts at once, however long
-   * the policy would still back off after a failure of the old address; it requests the full list,
-   * since versions of one service mean nothing to another.
+   * Switches to another address of the discovery service; does nothing if it is the current one. If
+   * a watch is wanted, it starts at once, even while the policy backs off after a failure of the
+   * old address. It requests the full list, because versions of different services are not
+   * comparable.
    */
   public void moveTo(InetSocketAddress address) {
     if (address.equals(target.address())) {
@@ -80,7 +82,7 @@
     activeWatch = watch;
   }
 
-  /** Stops the active watch, if any; that is not a failure. */
+  /** Stops the active watch, if any, without reporting a failure. */
   private void stopWatch() {
     EndpointListWatch stopped = activeWatch;
     activeWatch = null;
@@ -89,7 +91,7 @@
     }
   }
 
-  /** Listens to the active watch: one that was stopped notifies nobody. */
+  /** Receives the events of the active watch; a stopped watch sends none. */
   private final class WatchListener implements DiscoveryListener {
 
     @Override
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryListener.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryListener.java
@@ -2,12 +2,12 @@
 
 import loadbalancer.config.EndpointList;
 
-/** Receives what a watch delivers; called on the event loop. */
+/** Receives the events of a watch; called on the event loop. */
 public interface DiscoveryListener {
 
-  /** A list has arrived, either full or the changes since the previous one. */
+  /** Called when the full list or the changes since the previous list have arrived. */
   void endpointListReceived(EndpointList list);
 
-  /** The watch has failed. None is active now; whether and when to start another is up to you. */
+  /** Called when the watch has failed. No watch is active until the listener starts another. */
   void watchFailed();
 }
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListDecoder.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListDecoder.java
@@ -10,48 +10,49 @@
 import loadbalancer.config.JsonObjectReader;
 
 /**
- * Splits the body of a watch's response into endpoint lists, wherever its chunks and lines end: a
- * list may be indented over several lines. Passes each complete list on as a buffer, ahead of the
- * message that completed it. Belongs to the event loop.
+ * Splits the response body of a watch into endpoint lists. Chunk and line boundaries do not matter:
+ * a list may span several lines. Passes each complete list on as a {@link ByteBuf}, before the
+ * {@link HttpContent} that completed it. Not thread-safe: used on the event loop only.
  */
 final class EndpointListDecoder extends JsonObjectDecoder {
 
-  /** Far above any list; one without an end must not fill the memory. */
+  /** Far larger than any real list; bounds the memory that an unterminated list can take. */
   private static final int MAX_LIST_BYTES = 4 << 20;
 
-  private boolean lastPartBlank;
+  private boolean lastContentBlank;
 
-  /** A decoder for the body of one response. */
+  /** Creates a decoder for the body of one response. */
   EndpointListDecoder() {
     super(MAX_LIST_BYTES);
   }
 
   /**
-   * Reads one complete list.
+   * Parses one complete list.
    *
-   * @throws IOException if the text is not JSON
-   * @throws loadbalancer.config.WireFormatException if a field is missing or of the wrong type
+   * @throws IOException if the text is not valid JSON
+   * @throws loadbalancer.config.WireFormatException if a required field is missing or a field has
+   *     the wrong type
    */
   static EndpointList parse(ByteBuf listText) throws IOException {
     return EndpointList.fromJson(
         JsonObjectReader.parse("list", listText.toString(StandardCharsets.UTF_8)));
   }
 
-  /** Whether a list has begun that is not complete yet. */
+  /** Returns whether a list has started arriving and is not complete yet. */
   boolean hasPartialList() {
     return actualReadableBytes() > 0;
   }
 
-  /** Whether the latest part of the body was white space only: a heartbeat, or inside a list. */
-  boolean isLastPartBlank() {
-    return lastPartBlank;
+  /** Returns whether the last content was only white space: a heartbeat, or a part of a list. */
+  boolean isLastContentBlank() {
+    return lastContentBlank;
   }
 
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
-    if (message instanceof HttpContent part) {
-      lastPartBlank = part.content().forEachByte(b -> Character.isWhitespace(b & 0xff)) < 0;
-      super.channelRead(context, part.content().retain());
+    if (message instanceof HttpContent body) {
+      lastContentBlank = body.content().forEachByte(b -> Character.isWhitespace(b & 0xff)) < 0;
+      super.channelRead(context, body.content().retain());
     }
     context.fireChannelRead(message);
   }
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListWatch.java
@@ -27,25 +27,25 @@
 import loadbalancer.proxy.telemetry.EventLog;
 
 /**
- * One watch of the endpoint list as a state machine: a connection, a request, and a chunked
- * response of lists and heartbeats that lasts until the connection ends. The watch ends once, by
- * {@link #stop} or by a failure, and only a failure is notified.
+ * One watch of the endpoint list, as a state machine: opens a connection, sends a request and
+ * receives a chunked response of lists and heartbeats until the connection ends. A watch ends
+ * either by {@link #stop}, or by a failure, which it reports to its listener once.
  *
- * <p>All state belongs to the event loop. It is the last handler of its channel's pipeline, where
- * it gets each list once that is complete, and after it the part of the response that completed it.
+ * <p>Not thread-safe: used on the event loop only. It is the last handler of its channel's pipeline
+ * and receives each complete list before the {@link HttpContent} that completed it.
  */
 final class EndpointListWatch extends SimpleChannelInboundHandler<Object> {
 
   private enum State {
     /** The TCP connection is being opened. */
     CONNECTING,
-    /** The request is sent; neither a list nor a heartbeat has arrived. */
+    /** The request has been sent; no list data and no heartbeat have arrived. */
     AWAITING_FIRST_LIST,
-    /** A part of the first list has arrived. */
+    /** A part of the first list has arrived, but not all of it. */
     RECEIVING_FIRST_LIST,
-    /** A list or a heartbeat has arrived: the service serves this watch. */
+    /** A list or a heartbeat has arrived, so the service is handling this watch. */
     ESTABLISHED,
-    /** Stopped or failed; the connection is closed. */
+    /** The watch was stopped or failed; the connection is closed. */
     ENDED
   }
 
@@ -57,13 +57,13 @@
   private State state = State.CONNECTING;
   private Channel channel;
 
-  /** Ends a watch that makes no progress. */
+  /** Fails the watch if it makes no progress. */
   private ScheduledFuture<?> progressDeadline;
 
-  /** Ends a watch whose first list is not complete in time, however it progresses. */
+  /** Fails the watch if its first list is not complete in time, even if data keeps arriving. */
   private ScheduledFuture<?> firstListDeadline;
 
-  /** A watch that is not connected yet; its listener is called on the event loop. */
+  /** Creates a watch that is not connected yet; the listener is called on the event loop. */
   EndpointListWatch(
       EventLoop loop, WatchTarget target, WatchTimeouts timeouts, DiscoveryListener listener) {
     this.loop = loop;
@@ -73,15 +73,15 @@
   }
 
   /**
-   * Connects; to be called once. The first deadlines include the connect: neither a connection that
-   * comes up nor the head of a response is a reason to wait longer.
+   * Starts to connect; call once. The first deadlines run from here: neither an established
+   * connection nor a response head extends them.
    */
   void start(ChannelFactory<Channel> channelFactory) {
     ChannelFuture connected =
         new Bootstrap()
             .group(loop)
             .channelFactory(channelFactory)
-            // The deadlines of the watch bound its connect too.
+            // The deadlines of the watch limit the connect too.
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
             .handler(
                 new ChannelInitializer<Channel>() {
@@ -95,27 +95,31 @@
             .connect(target.address());
     channel = connected.channel();
     progressDeadline =
-        failAfter(timeouts.firstResponseMillis(), "no list or heartbeat after the connect");
-    firstListDeadline = failAfter(timeouts.silenceMillis(), "first list not complete in time");
+        failAfter(timeouts.firstResponseTimeoutMillis(), "no first list or heartbeat");
+    firstListDeadline = failAfter(timeouts.idleTimeoutMillis(), "first list not complete");
     connected.addListener(
         result -> {
           if (!result.isSuccess()) {
-            // Netty notifies of a socket that could not be created on another thread.
+            // If the socket could not be created, Netty calls this on another thread.
             loop.execute(() -> fail("cannot connect: " + result.cause().getMessage()));
           }
         });
   }
 
-  /** Ends the watch; its listener is not notified. */
+  /** Ends the watch without calling its listener. */
   void stop() {
     end();
   }
 
-  private ScheduledFuture<?> failAfter(long millis, String reason) {
-    return loop.schedule(() -> fail(reason), millis, TimeUnit.MILLISECONDS);
+  /** Schedules a failure whose reason is {@code problem} with the timeout appended. */
+  private ScheduledFuture<?> failAfter(long timeoutMillis, String problem) {
+    return loop.schedule(
+        () -> fail(problem + " within " + timeoutMillis + " ms"),
+        timeoutMillis,
+        TimeUnit.MILLISECONDS);
   }
 
-  /** Sends the request once the connection is up. */
+  /** Sends the request once the connection is established. */
   @Override
   public void channelActive(ChannelHandlerContext context) {
     if (state != State.CONNECTING) {
@@ -142,43 +146,44 @@
       receiveList(EndpointListDecoder.parse(listText));
     } else {
       extendDeadlines(message);
-      failIfLast((HttpObject) message);
+      failOnErrorOrEnd((HttpObject) message);
     }
   }
 
   private void receiveList(EndpointList list) {
-    establish();
+    markEstablished();
     EventLog.infoRateLimited("discovery: endpoint list received " + list.summary());
     listener.endpointListReceived(list);
   }
 
   private void extendDeadlines(Object message) {
     if (message instanceof HttpContent && !decoder.hasPartialList()) {
-      // White space inside a list is no heartbeat: a list that stops halfway is silence.
-      establish();
+      // White space inside a list is not a heartbeat: a list that stops arriving must time out.
+      markEstablished();
     } else if (state != State.ESTABLISHED
         && decoder.hasPartialList()
-        && !decoder.isLastPartBlank()) {
-      continueFirstList();
+        && !decoder.isLastContentBlank()) {
+      extendProgressDeadline();
     }
   }
 
-  /** A long first list is not cut off as long as more of it arrives. */
-  private void continueFirstList() {
+  /** Restarts the progress deadline, so that a long first list is not cut off while it arrives. */
+  private void extendProgressDeadline() {
     state = State.RECEIVING_FIRST_LIST;
     progressDeadline.cancel(false);
-    progressDeadline = failAfter(timeouts.firstResponseMillis(), "first list stopped arriving");
+    progressDeadline =
+        failAfter(timeouts.firstResponseTimeoutMillis(), "no further part of the first list");
   }
 
-  /** The service has sent a list or a heartbeat; the next one has to follow in time. */
-  private void establish() {
+  /** Records that a list or a heartbeat has arrived and restarts the idle timeout. */
+  private void markEstablished() {
     state = State.ESTABLISHED;
     cancelDeadlines();
-    // A machine that vanished leaves its connections open and silent for ever.
-    progressDeadline = failAfter(timeouts.silenceMillis(), "no heartbeat in time");
+    // If the peer's machine disappears, its connections stay open without any data.
+    progressDeadline = failAfter(timeouts.idleTimeoutMillis(), "no list or heartbeat");
   }
 
-  private void failIfLast(HttpObject message) {
+  private void failOnErrorOrEnd(HttpObject message) {
     if (message.decoderResult().isFailure()) {
       fail("malformed response");
     } else if (message instanceof HttpResponse response
@@ -211,7 +216,7 @@
   private void end() {
     state = State.ENDED;
     cancelDeadlines();
-    // Without a free file descriptor there is no socket, and closing it would throw.
+    // Without a free file descriptor the channel has no socket, and close() would throw.
     if (channel.isOpen()) {
       channel.close();
     }
--- a/src/main/java/loadbalancer/proxy/discovery/WatchTarget.java
+++ b/src/main/java/loadbalancer/proxy/discovery/WatchTarget.java
@@ -4,39 +4,39 @@
 import java.util.OptionalLong;
 
 /**
- * Where to watch the endpoint list and from which version on; immutable.
+ * The discovery service to watch and the version to continue from; immutable.
  *
- * @param address of the discovery service
- * @param version the last version received from there; empty requests the full list
+ * @param address the address of the discovery service
+ * @param version the last version received from it; empty to request the full list
  */
 public record WatchTarget(InetSocketAddress address, OptionalLong version) {
 
-  /** The number that stands for "no version" where a configuration has to state one. */
+  /** The number by which a configuration states that no version is known. */
   private static final long UNKNOWN_VERSION = -1;
 
-  /** A target whose list is known up to this version. */
+  /** Creates a target; a version of -1 means that none is known. */
   public static WatchTarget of(InetSocketAddress address, long version) {
     return new WatchTarget(
         address, version == UNKNOWN_VERSION ? OptionalLong.empty() : OptionalLong.of(version));
   }
 
-  /** The same address, known up to this version. */
+  /** Returns a target with the same address and this version, with -1 for none. */
   WatchTarget withVersion(long newVersion) {
     return of(address, newVersion);
   }
 
-  /** The request target of a watch, as the protocol has it. */
+  /** Returns the request target of a watch: path and query. */
   String requestUri() {
     String uri = "/discovery/hosts?watch=1";
     return version.isPresent() ? uri + "&after=" + version.getAsLong() : uri;
   }
 
-  /** The address as the Host header and the log have it. */
+  /** Formats the address for the Host header and the log. */
   String hostAndPort() {
     return address.getHostString() + ":" + address.getPort();
   }
 
-  /** The version for the log. */
+  /** Formats the version for the log; "none" if it is empty. */
   String versionText() {
     return version.isPresent() ? Long.toString(version.getAsLong()) : "none";
   }
--- a/src/main/java/loadbalancer/proxy/discovery/WatchTimeouts.java
+++ b/src/main/java/loadbalancer/proxy/discovery/WatchTimeouts.java
@@ -1,36 +1,36 @@
 package loadbalancer.proxy.discovery;
 
 /**
- * The time limits of a watch.
+ * The timeouts of a watch, in milliseconds.
  *
- * @param firstResponseMillis from the start of the connect until the first list or heartbeat, and
- *     between two parts of a first list that arrives in parts
- * @param silenceMillis between two lists or heartbeats of an established watch, and from the start
- *     of the connect until the first list is complete
+ * @param firstResponseTimeoutMillis the maximum time from the start of the connect to the first
+ *     list data or heartbeat, and between two parts of the first list
+ * @param idleTimeoutMillis the maximum time between lists or heartbeats of an established watch,
+ *     and from the start of the connect to the first complete list or heartbeat
  */
-public record WatchTimeouts(long firstResponseMillis, long silenceMillis) {
+public record WatchTimeouts(long firstResponseTimeoutMillis, long idleTimeoutMillis) {
 
-  /** The period of the service's heartbeats, an empty line each. */
+  /** The interval of the service's heartbeats, each an empty line. */
   private static final long HEARTBEAT_MILLIS = 2_000;
 
-  /** How late a heartbeat may arrive on a loaded machine. */
+  /** How late a heartbeat may arrive when a machine is loaded. */
   private static final long HEARTBEAT_TOLERANCE_MILLIS = 500;
 
   /**
-   * Two missed heartbeats mean that nobody serves the connection any more. By the protocol a change
-   * counts as notified 6 s after the last sign of the service: by then another watch has to run,
-   * which the back-off of the policy may delay by a second.
+   * After two missed heartbeats the watch counts as dead. The protocol treats a change as notified
+   * 6 s after the service last sent data, so another watch must run by then, and the backoff of the
+   * policy may delay that watch by 1 s.
    */
-  static final long SILENCE_MILLIS = 2 * HEARTBEAT_MILLIS + HEARTBEAT_TOLERANCE_MILLIS;
+  static final long IDLE_TIMEOUT_MILLIS = 2 * HEARTBEAT_MILLIS + HEARTBEAT_TOLERANCE_MILLIS;
 
   /**
-   * The service responds at once, but where nothing has changed the first data may be a heartbeat.
-   * After a reload a change counts as notified 4 s later: a watch at the new address that gets no
-   * response has to end with time left for a back-off and another watch.
+   * The service responds at once, but if the list has not changed, the first data may be a
+   * heartbeat. The protocol treats a change as notified 4 s after a reload, so a watch at the new
+   * address that gets no response must fail early enough for a backoff and another watch.
    */
-  static final long FIRST_RESPONSE_MILLIS = HEARTBEAT_MILLIS + HEARTBEAT_TOLERANCE_MILLIS;
+  static final long FIRST_RESPONSE_TIMEOUT_MILLIS = HEARTBEAT_MILLIS + HEARTBEAT_TOLERANCE_MILLIS;
 
-  /** The limits that the protocol's figures call for. */
+  /** The timeouts that follow from the time limits of the protocol. */
   public static final WatchTimeouts PROTOCOL =
-      new WatchTimeouts(FIRST_RESPONSE_MILLIS, SILENCE_MILLIS);
+      new WatchTimeouts(FIRST_RESPONSE_TIMEOUT_MILLIS, IDLE_TIMEOUT_MILLIS);
 }
--- a/src/main/java/loadbalancer/proxy/discovery/package-info.java
+++ b/src/main/java/loadbalancer/proxy/discovery/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Watches the endpoint list at the discovery service: {@link
- * loadbalancer.proxy.discovery.DiscoveryClient} keeps one watch active, {@code EndpointListWatch}
- * is the state machine of one, {@code EndpointListDecoder} reads its lists. All state belongs to
- * the event loop.
+ * Watches the endpoint list of the discovery service. {@link
+ * loadbalancer.proxy.discovery.DiscoveryClient} manages the active watch, {@code EndpointListWatch}
+ * is the state machine of one watch, and {@code EndpointListDecoder} splits its response into
+ * lists. Nothing here is thread-safe: all of it runs on the event loop.
  */
 package loadbalancer.proxy.discovery;
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -14,24 +14,28 @@
 import loadbalancer.proxy.TestProxy;
 import org.junit.jupiter.api.Test;
 
-/** Which watch is active: after a failure, and after a move to another address. */
+/** Restarting a watch after a failure and switching to another discovery address. */
 class DiscoveryClientTest extends WatchTestSupport {
 
-  /** As where clients and upstreams hold every descriptor; the failure is notified on the loop. */
+  /**
+   * Clients and upstream connections may use up all file descriptors, so that the channel cannot be
+   * created. Netty then completes the connect on another thread; the failure must still be reported
+   * on the event loop.
+   */
   @Test
-  void missingFileDescriptorFailsTheWatchAndAnotherCanStart() throws Exception {
+  void watchFailsWithoutAFileDescriptorAndCanBeStartedAgain() throws Exception {
     try (FakeHttpServer server =
         new FakeHttpServer(
             (request, connection, output) -> {
               FakeHttpServer.write(output, RESPONSE_HEAD);
               writeChunk(output, listJson(8, true));
             })) {
-      AtomicInteger failuresLeft = new AtomicInteger(1);
+      AtomicInteger remainingFailures = new AtomicInteger(1);
       DiscoveryClient discovery =
           new DiscoveryClient(
               loop,
               () -> {
-                if (failuresLeft.getAndDecrement() > 0) {
+                if (remainingFailures.getAndDecrement() > 0) {
                   throw new ChannelException("too many open files");
                 }
                 return new NioSocketChannel();
@@ -47,33 +51,34 @@
   }
 
   @Test
-  void moveWatchesTheNewAddressForTheFullListAtOnceWithoutAFailure() throws Exception {
-    try (FakeHttpServer before =
+  void moveRequestsTheFullListFromTheNewAddressWithoutReportingAFailure() throws Exception {
+    try (FakeHttpServer oldServer =
             new FakeHttpServer(
                 (request, connection, output) -> FakeHttpServer.write(output, RESPONSE_HEAD));
-        FakeHttpServer after =
+        FakeHttpServer newServer =
             new FakeHttpServer(
                 (request, connection, output) -> {
                   FakeHttpServer.write(output, RESPONSE_HEAD);
                   writeChunk(output, listJson(3, true));
                 })) {
-      DiscoveryClient discovery = startWatch(before.address(), 60_000);
-      TestProxy.waitUntil(() -> before.requests.size() == 1);
-      loop.execute(() -> discovery.moveTo(after.address()));
+      DiscoveryClient discovery = startWatch(oldServer.address(), 60_000);
+      TestProxy.waitUntil(() -> oldServer.requests.size() == 1);
+      loop.execute(() -> discovery.moveTo(newServer.address()));
       assertEquals(3, ((EndpointList) listener.next()).version());
       assertTrue(
-          after.requests.get(0).startsWith("GET /discovery/hosts?watch=1 "), after.requests.get(0));
-      TestProxy.waitUntil(() -> before.connectionsClosedByPeer.get() == 1);
+          newServer.requests.get(0).startsWith("GET /discovery/hosts?watch=1 "),
+          newServer.requests.get(0));
+      TestProxy.waitUntil(() -> oldServer.connectionsClosedByPeer.get() == 1);
       loop.execute(() -> discovery.watch(true));
       loop.submit(() -> {}).get();
-      assertTrue(listener.events.isEmpty(), "the end of the old watch is not a failure");
-      assertEquals(1, after.requests.size(), "one watch at a time");
+      assertTrue(listener.events.isEmpty(), "stopping the old watch is not reported as a failure");
+      assertEquals(1, newServer.requests.size(), "only one watch is active");
     }
   }
 
   @Test
-  void moveDuringTheBackOffDoesNotWaitForItsEnd() throws Exception {
-    try (FakeHttpServer after =
+  void moveDuringBackoffStartsAWatchAtOnce() throws Exception {
+    try (FakeHttpServer newServer =
         new FakeHttpServer(
             (request, connection, output) -> {
               FakeHttpServer.write(output, RESPONSE_HEAD);
@@ -81,21 +86,24 @@
             })) {
       DiscoveryClient discovery = startWatch(TestProxy.unreachableAddress(), 60_000);
       assertEquals("failed", listener.next());
-      loop.execute(() -> discovery.moveTo(after.address()));
+      loop.execute(() -> discovery.moveTo(newServer.address()));
       assertEquals(
-          3, ((EndpointList) listener.next()).version(), "though no watch was requested again");
+          3, ((EndpointList) listener.next()).version(), "the move starts a watch by itself");
     }
   }
 
-  /** Only a watch that fails in time can be followed by another before a change counts. */
+  /**
+   * A new address that accepts the connection but never responds must fail the watch by the first
+   * response timeout, so that another watch can start before a change counts as notified.
+   */
   @Test
-  void watchAtASilentNewAddressFailsInTimeAndCanBeStartedAgain() throws Exception {
-    try (FakeHttpServer after = new FakeHttpServer((request, connection, output) -> {})) {
+  void watchOfAnUnresponsiveNewAddressTimesOutAndCanBeStartedAgain() throws Exception {
+    try (FakeHttpServer newServer = new FakeHttpServer((request, connection, output) -> {})) {
       DiscoveryClient discovery = startWatch(TestProxy.unreachableAddress(), 500, 60_000);
       assertEquals("failed", listener.next());
-      loop.execute(() -> discovery.moveTo(after.address()));
+      loop.execute(() -> discovery.moveTo(newServer.address()));
       assertEquals("failed", listener.next());
-      after.requestHandler =
+      newServer.requestHandler =
           (request, connection, output) -> {
             FakeHttpServer.write(output, RESPONSE_HEAD);
             writeChunk(output, listJson(3, true));
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryRecoveryTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryRecoveryTest.java
@@ -18,88 +18,96 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A whole proxy and its endpoint list: the watch recovers and the proxy follows the list. */
+/** A complete proxy with a fake discovery service: watches recover and list changes take effect. */
 class DiscoveryRecoveryTest {
 
   @Test
-  void proxyWatchesAgainAfterAFailureAndFollowsAnEndpointThatMoved() throws Exception {
-    try (FakeHttpServer before = FakeHttpServer.respondingWith("before");
-        FakeHttpServer after = FakeHttpServer.respondingWith("after");
-        FakeHttpServer server =
+  void proxyRetriesAFailedWatchAndFollowsAnEndpointToItsNewAddress() throws Exception {
+    try (FakeHttpServer oldEndpoint = FakeHttpServer.respondingWith("before");
+        FakeHttpServer newEndpoint = FakeHttpServer.respondingWith("after");
+        FakeHttpServer discoveryServer =
             new FakeHttpServer(
                 (request, connection, output) ->
                     FakeHttpServer.write(output, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
-      TestProxy proxy = new TestProxy(server.address(), 1, before);
+      TestProxy proxy = new TestProxy(discoveryServer.address(), 1, oldEndpoint);
       try (TestClient client = new TestClient(proxy.address)) {
         assertEquals(
             "before", client.exchange(TestClient.idempotentRequest("1", 15_000, "")).body());
-        server.requestHandler =
+        discoveryServer.requestHandler =
             (request, connection, output) -> {
               FakeHttpServer.write(output, RESPONSE_HEAD);
               writeChunk(
                   output,
-                  listJson(8, false, TestProxy.endpointJson("s-0", after.address(), "in_service")));
+                  listJson(
+                      8,
+                      false,
+                      TestProxy.endpointJson("s-0", newEndpoint.address(), "in_service")));
             };
-        TestProxy.waitUntil(() -> before.connectionsClosedByPeer.get() == 1);
+        TestProxy.waitUntil(() -> oldEndpoint.connectionsClosedByPeer.get() == 1);
         assertEquals(
             "after", client.exchange(TestClient.idempotentRequest("2", 15_000, "")).body());
       }
     }
   }
 
-  static Stream<Arguments> crowds() {
-    String[][] crowds = {
+  static Stream<Arguments> idleClientMixes() {
+    String[][] idleClientMixes = {
       {IdleClients.NO_BYTES},
       {IdleClients.READINESS_REQUEST},
       {IdleClients.PARTIAL_HEAD},
       {IdleClients.NO_BYTES, IdleClients.READINESS_REQUEST, IdleClients.PARTIAL_HEAD}
     };
-    return Stream.of(crowds).flatMap(c -> Stream.of(Arguments.of(true, c), Arguments.of(false, c)));
+    return Stream.of(idleClientMixes)
+        .flatMap(mix -> Stream.of(Arguments.of(true, mix), Arguments.of(false, mix)));
   }
 
   /**
-   * Discovery falls silent, or ends each watch for a while, and idle clients hold all descriptors
-   * that clients may have.
+   * Guards against a watch that cannot recover because idle clients hold all sockets that clients
+   * may use, after discovery stops sending or closes every watch for a while.
    */
   @ParameterizedTest
-  @MethodSource("crowds")
-  void watchRecoversAndClientsAreServedAlthoughIdleClientsHoldAllSockets(
-      boolean silent, String[] crowd) throws Exception {
-    try (FakeHttpServer before = FakeHttpServer.respondingWith("before");
-        FakeHttpServer after = FakeHttpServer.respondingWith("after");
-        FakeHttpServer server =
+  @MethodSource("idleClientMixes")
+  void watchRecoversAndClientsAreServedWhileIdleClientsHoldAllSockets(
+      boolean discoveryStaysSilent, String[] idleClientRequests) throws Exception {
+    try (FakeHttpServer oldEndpoint = FakeHttpServer.respondingWith("before");
+        FakeHttpServer newEndpoint = FakeHttpServer.respondingWith("after");
+        FakeHttpServer discoveryServer =
             new FakeHttpServer(
                 (request, connection, output) -> FakeHttpServer.write(output, RESPONSE_HEAD))) {
       TestProxy proxy =
           new TestProxy(
-              TestProxy.configurationJson(server.address(), 1, before)
+              TestProxy.configurationJson(discoveryServer.address(), 1, oldEndpoint)
                   .replace("\"sockets\":1024", "\"sockets\":256"));
-      TestProxy.waitUntil(() -> server.requests.size() == 1);
-      try (IdleClients idle = new IdleClients(proxy.address, 600, true, crowd)) {
-        TestProxy.waitUntil(() -> idle.closedByServer.get() > 0);
-        if (!silent) {
-          server.requestHandler = (request, connection, output) -> connection.close();
-          server.connections.get(0).close();
-          TestProxy.waitUntil(() -> server.requests.size() > 2);
+      TestProxy.waitUntil(() -> discoveryServer.requests.size() == 1);
+      try (IdleClients idleClients =
+          new IdleClients(proxy.address, 600, true, idleClientRequests)) {
+        TestProxy.waitUntil(() -> idleClients.closedByServer.get() > 0);
+        if (!discoveryStaysSilent) {
+          discoveryServer.requestHandler = (request, connection, output) -> connection.close();
+          discoveryServer.connections.get(0).close();
+          TestProxy.waitUntil(() -> discoveryServer.requests.size() > 2);
         }
-        server.requestHandler =
+        discoveryServer.requestHandler =
             (request, connection, output) -> {
               FakeHttpServer.write(output, RESPONSE_HEAD);
               writeChunk(
                   output,
-                  listJson(8, false, TestProxy.endpointJson("s-0", after.address(), "in_service")));
+                  listJson(
+                      8,
+                      false,
+                      TestProxy.endpointJson("s-0", newEndpoint.address(), "in_service")));
             };
-        int watches = server.requests.size();
-        for (int i = 0; server.requests.size() == watches; i++) {
+        int watchCount = discoveryServer.requests.size();
+        for (int i = 0; discoveryServer.requests.size() == watchCount; i++) {
           assertEquals(
               200,
               responseTo(proxy, TestClient.idempotentRequest("d" + i, 15_000, "")).status(),
-              "with the known list");
+              "served from the configured list");
         }
-        int[] calls = {0};
+        int[] requestCount = {0};
         TestProxy.waitUntil(
             () ->
-                responseTo(proxy, TestClient.idempotentRequest("l" + calls[0]++, 15_000, ""))
+                responseTo(proxy, TestClient.idempotentRequest("l" + requestCount[0]++, 15_000, ""))
                     .body()
                     .equals("after"));
         assertEquals(200, responseTo(proxy, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
@@ -107,34 +115,35 @@
     }
   }
 
-  /** The response to a new client's first request. */
+  /** Sends a request on a new connection and returns the response. */
   private static TestClient.Response responseTo(TestProxy proxy, String request) {
     try (TestClient client = new TestClient(proxy.address)) {
       return client.exchange(request);
     } catch (IOException e) {
-      throw new AssertionError("a client was not served", e);
+      throw new AssertionError("a request on a new connection failed", e);
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"pushed", "on_request"})
-  void proxyWatchesTheListInEveryListMode(String mode) throws Exception {
-    try (FakeHttpServer server =
+  void proxyWatchesTheListInEveryRegistryMode(String mode) throws Exception {
+    try (FakeHttpServer discoveryServer =
         new FakeHttpServer(
             (request, connection, output) -> FakeHttpServer.write(output, RESPONSE_HEAD))) {
-      new TestProxy(TestProxy.configurationJson(server.address(), 1).replace("on_request", mode));
-      TestProxy.waitUntil(() -> server.requests.size() == 1);
+      new TestProxy(
+          TestProxy.configurationJson(discoveryServer.address(), 1).replace("on_request", mode));
+      TestProxy.waitUntil(() -> discoveryServer.requests.size() == 1);
       assertTrue(
-          server.requests.get(0).startsWith("GET /discovery/hosts?watch=1&after=7 "),
-          server.requests.get(0));
+          discoveryServer.requests.get(0).startsWith("GET /discovery/hosts?watch=1&after=7 "),
+          discoveryServer.requests.get(0));
     }
   }
 
   @Test
-  void endpointAbsentFromAFullListGetsNoMoreRequests() throws Exception {
+  void endpointMissingFromAFullListGetsNoMoreRequests() throws Exception {
     try (FakeHttpServer kept = FakeHttpServer.respondingWith("kept");
         FakeHttpServer removed = FakeHttpServer.respondingWith("removed");
-        FakeHttpServer server =
+        FakeHttpServer discoveryServer =
             new FakeHttpServer(
                 (request, connection, output) -> {
                   FakeHttpServer.write(output, RESPONSE_HEAD);
@@ -143,22 +152,22 @@
                       listJson(
                           8, true, TestProxy.endpointJson("s-0", kept.address(), "in_service")));
                 })) {
-      TestProxy proxy = new TestProxy(server.address(), 1, kept, removed);
-      TestProxy.waitUntil(() -> server.requests.size() == 1);
+      TestProxy proxy = new TestProxy(discoveryServer.address(), 1, kept, removed);
+      TestProxy.waitUntil(() -> discoveryServer.requests.size() == 1);
       try (TestClient client = new TestClient(proxy.address)) {
-        int[] calls = {0};
-        TestProxy.waitUntil(() -> allServedByKeptEndpoint(client, calls));
+        int[] requestCount = {0};
+        TestProxy.waitUntil(() -> allServedByKeptEndpoint(client, requestCount));
       }
     }
   }
 
-  /** Once the list has arrived no session key leads to the removed endpoint. */
-  private static boolean allServedByKeptEndpoint(TestClient client, int[] calls) {
+  /** Returns whether requests with 20 different session keys all reach the kept endpoint. */
+  private static boolean allServedByKeptEndpoint(TestClient client, int[] requestCount) {
     try {
       boolean all = true;
       for (int i = 0; i < 20; i++) {
         String request =
-            TestClient.idempotentRequest("l" + calls[0]++, 15_000, "")
+            TestClient.idempotentRequest("l" + requestCount[0]++, 15_000, "")
                 .replace("Key: k", "Key: k" + i);
         all &= client.exchange(request).body().equals("kept");
       }
--- a/src/test/java/loadbalancer/proxy/discovery/EndpointListWatchDeadlineTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/EndpointListWatchDeadlineTest.java
@@ -18,13 +18,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The deadlines of one watch, to the millisecond of a manual clock. */
+/** The deadlines of one watch, checked to the millisecond on a manual clock. */
 class EndpointListWatchDeadlineTest {
 
-  /** Limits in the time of the manual clock. */
-  private static final long FIRST_RESPONSE_MILLIS = 1_000;
+  /** Timeouts on the manual clock. */
+  private static final long FIRST_RESPONSE_TIMEOUT_MILLIS = 1_000;
 
-  private static final long SILENCE_MILLIS = 3_250;
+  private static final long IDLE_TIMEOUT_MILLIS = 3_250;
 
   private final ManualEventLoop loop = new ManualEventLoop();
   private final RecordingListener listener = new RecordingListener(loop);
@@ -34,7 +34,7 @@
         new DiscoveryClient(
             loop,
             WatchTarget.of(address, 7),
-            new WatchTimeouts(FIRST_RESPONSE_MILLIS, SILENCE_MILLIS),
+            new WatchTimeouts(FIRST_RESPONSE_TIMEOUT_MILLIS, IDLE_TIMEOUT_MILLIS),
             listener);
     loop.execute(() -> discovery.watch(true));
   }
@@ -44,10 +44,10 @@
     loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
-  /** The shorter limit on the first response must not end a watch between two heartbeats. */
+  /** The shorter first response timeout must not fail a watch that waits for a heartbeat. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void establishedWatchFailsAtTheSilenceTimeoutOnly(boolean heartbeat) throws Exception {
+  void establishedWatchFailsAtTheIdleTimeoutOnly(boolean heartbeat) throws Exception {
     try (FakeHttpServer server =
         new FakeHttpServer(
             (request, connection, output) -> {
@@ -55,11 +55,11 @@
               writeChunk(output, heartbeat ? "\n" : listJson(8, true));
             })) {
       startWatch(server.address());
-      TestProxy.waitUntil(() -> loop.millisToNextTimer() == SILENCE_MILLIS);
+      TestProxy.waitUntil(() -> loop.millisToNextTimer() == IDLE_TIMEOUT_MILLIS);
       if (!heartbeat) {
         assertEquals(8, ((EndpointList) listener.next()).version());
       }
-      loop.advance(SILENCE_MILLIS - 1);
+      loop.advance(IDLE_TIMEOUT_MILLIS - 1);
       assertTrue(listener.events.isEmpty());
       loop.advance(1);
       assertEquals("failed", listener.next());
@@ -68,58 +68,61 @@
 
   @Test
   void longFirstListIsNotCutOffWhileItArrives() throws Exception {
-    Semaphore more = new Semaphore(0);
+    Semaphore nextChunk = new Semaphore(0);
     try (FakeHttpServer server =
         new FakeHttpServer(
             (request, connection, output) -> {
               FakeHttpServer.write(output, RESPONSE_HEAD);
               for (String part : listJson(8, true).split("(?<=,)", -1)) {
-                more.acquire();
+                nextChunk.acquire();
                 writeChunk(output, part);
               }
             })) {
       startWatch(server.address());
       TestProxy.waitUntil(() -> server.requests.size() == 1);
       for (int part = 0; part < 2; part++) {
-        loop.advance(FIRST_RESPONSE_MILLIS - 1);
-        more.release();
-        TestProxy.waitUntil(() -> loop.millisToNextTimer() == FIRST_RESPONSE_MILLIS);
+        loop.advance(FIRST_RESPONSE_TIMEOUT_MILLIS - 1);
+        nextChunk.release();
+        TestProxy.waitUntil(() -> loop.millisToNextTimer() == FIRST_RESPONSE_TIMEOUT_MILLIS);
       }
-      loop.advance(FIRST_RESPONSE_MILLIS - 1);
-      more.release();
+      loop.advance(FIRST_RESPONSE_TIMEOUT_MILLIS - 1);
+      nextChunk.release();
       assertEquals(8, ((EndpointList) listener.next()).version());
     }
   }
 
-  /** Otherwise a first list that trickles for ever would neither fail nor notify of a drain. */
+  /**
+   * Without a limit on the whole first list, one that keeps arriving in small parts would neither
+   * fail the watch nor deliver a drain.
+   */
   @Test
-  void endlessFirstListIsCutOffAlthoughItArrives() throws Exception {
-    Semaphore more = new Semaphore(0);
+  void firstListThatNeverEndsFailsAtTheIdleTimeout() throws Exception {
+    Semaphore nextChunk = new Semaphore(0);
     try (FakeHttpServer server =
         new FakeHttpServer(
             (request, connection, output) -> {
               FakeHttpServer.write(output, RESPONSE_HEAD);
               writeChunk(output, "{\"snapshot\": \"");
               while (true) {
-                more.acquire();
+                nextChunk.acquire();
                 writeChunk(output, "x");
               }
             })) {
       startWatch(server.address());
       TestProxy.waitUntil(() -> server.requests.size() == 1);
-      long stepMillis = FIRST_RESPONSE_MILLIS / 2;
-      for (long passed = stepMillis;
-          passed <= SILENCE_MILLIS - FIRST_RESPONSE_MILLIS;
-          passed += stepMillis) {
+      long stepMillis = FIRST_RESPONSE_TIMEOUT_MILLIS / 2;
+      for (long elapsedMillis = stepMillis;
+          elapsedMillis <= IDLE_TIMEOUT_MILLIS - FIRST_RESPONSE_TIMEOUT_MILLIS;
+          elapsedMillis += stepMillis) {
         loop.advance(stepMillis);
-        more.release();
-        TestProxy.waitUntil(() -> loop.millisToNextTimer() == FIRST_RESPONSE_MILLIS);
+        nextChunk.release();
+        TestProxy.waitUntil(() -> loop.millisToNextTimer() == FIRST_RESPONSE_TIMEOUT_MILLIS);
       }
-      loop.advance(FIRST_RESPONSE_MILLIS - 1);
-      more.release();
-      long millisLeft = SILENCE_MILLIS % stepMillis + 1;
-      TestProxy.waitUntil(() -> loop.millisToNextTimer() == millisLeft);
-      loop.advance(millisLeft - 1);
+      loop.advance(FIRST_RESPONSE_TIMEOUT_MILLIS - 1);
+      nextChunk.release();
+      long remainingMillis = IDLE_TIMEOUT_MILLIS % stepMillis + 1;
+      TestProxy.waitUntil(() -> loop.millisToNextTimer() == remainingMillis);
+      loop.advance(remainingMillis - 1);
       assertTrue(listener.events.isEmpty());
       loop.advance(1);
       assertEquals("failed", listener.next());
--- a/src/test/java/loadbalancer/proxy/discovery/EndpointListWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/EndpointListWatchTest.java
@@ -20,11 +20,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One watch, against a service that splits its lists, falls silent, fails or never responds. */
+/** One watch of a service that splits lists, stops sending, returns errors or never responds. */
 class EndpointListWatchTest extends WatchTestSupport {
 
   @Test
-  void listsMayBeSplitAnywhereAndTheNextWatchStartsAtTheLastVersion() throws Exception {
+  void listsMayBeSplitAnywhereAndTheNextWatchContinuesFromTheLastVersion() throws Exception {
     try (FakeHttpServer server =
         new FakeHttpServer(
             (request, connection, output) -> {
@@ -38,7 +38,7 @@
       DiscoveryClient discovery = startWatch(server.address(), 60_000);
       assertEquals(8, ((EndpointList) listener.next()).version());
       assertEquals(9, ((EndpointList) listener.next()).version());
-      assertEquals("failed", listener.next(), "the response ended");
+      assertEquals("failed", listener.next(), "the response has ended");
       loop.execute(() -> discovery.watch(true));
       listener.next();
       assertTrue(
@@ -52,7 +52,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"\n", "\r\n"})
-  void listsMayBeIndentedOverSeveralLines(String end) throws Exception {
+  void listsMayBeIndentedOverSeveralLines(String lineEnd) throws Exception {
     String first =
         """
         {
@@ -68,15 +68,17 @@
           ]
         }
         """
-            .replace("\n", end);
-    String second = listJson(9, false).replace("{", "{" + end).replace(",", "," + end + "\t");
+            .replace("\n", lineEnd);
+    String second =
+        listJson(9, false).replace("{", "{" + lineEnd).replace(",", "," + lineEnd + "\t");
     try (FakeHttpServer server =
         new FakeHttpServer(
             (request, connection, output) -> {
               FakeHttpServer.write(output, RESPONSE_HEAD);
               writeChunk(
-                  output, end + first + second + end + first.replace("8", "10").substring(0, 40));
-              writeChunk(output, first.replace("8", "10").substring(40) + end);
+                  output,
+                  lineEnd + first + second + lineEnd + first.replace("8", "10").substring(0, 40));
+              writeChunk(output, first.replace("8", "10").substring(40) + lineEnd);
             })) {
       startWatch(server.address(), 60_000);
       EndpointList list = (EndpointList) listener.next();
@@ -89,9 +91,12 @@
     }
   }
 
-  /** Otherwise heartbeats would keep a watch alive whose list, a drain perhaps, never ends. */
+  /**
+   * White space inside a list must not count as a heartbeat. Otherwise heartbeats would keep a
+   * watch active whose list never completes, and a drain in that list would never be applied.
+   */
   @Test
-  void partialListTimesOutAlthoughHeartbeatsContinue() throws Exception {
+  void partialListTimesOutWhileHeartbeatsContinue() throws Exception {
     try (FakeHttpServer server =
         new FakeHttpServer(
             (request, connection, output) -> {
@@ -112,7 +117,7 @@
   }
 
   @Test
-  void silentWatchFailsOnceAndIsClosed() throws Exception {
+  void watchWithoutDataFailsOnceAndIsClosed() throws Exception {
     try (FakeHttpServer server =
         new FakeHttpServer(
             (request, connection, output) -> FakeHttpServer.write(output, RESPONSE_HEAD))) {
@@ -123,7 +128,7 @@
     }
   }
 
-  /** A service that is down: connections open, or a response begins, and nothing follows. */
+  /** A service that accepts the connection and may start a response, but then sends nothing. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -133,9 +138,11 @@
         RESPONSE_HEAD + "1",
         RESPONSE_HEAD + "12\r\n{\"index\": 8,"
       })
-  void watchWithoutAFirstResponseFailsBeforeTheSilenceTimeout(String text) throws Exception {
+  void watchWithoutAFirstResponseFailsBeforeTheIdleTimeout(String partialResponse)
+      throws Exception {
     try (FakeHttpServer server =
-        new FakeHttpServer((request, connection, output) -> FakeHttpServer.write(output, text))) {
+        new FakeHttpServer(
+            (request, connection, output) -> FakeHttpServer.write(output, partialResponse))) {
       startWatch(server.address(), 200, 60_000);
       assertEquals("failed", listener.next());
       TestProxy.waitUntil(() -> server.connectionsClosedByPeer.get() == 1);
@@ -143,36 +150,36 @@
     }
   }
 
-  /** The backlog is full, so the connect never completes, as at a machine that vanished. */
+  /** The accept backlog is full, so the connect never completes, as when the host is down. */
   @Test
   void watchWhoseConnectNeverCompletesFails() throws Exception {
-    try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      List<Socket> waiting = new ArrayList<>();
+    try (ServerSocket fullServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      List<Socket> sockets = new ArrayList<>();
       try {
         for (int i = 0; i < 10; i++) {
-          waiting.add(new Socket());
-          waiting.get(i).connect(full.getLocalSocketAddress(), 200);
+          sockets.add(new Socket());
+          sockets.get(i).connect(fullServer.getLocalSocketAddress(), 200);
         }
       } catch (SocketTimeoutException e) {
-        // Expected: no further connect completes.
+        // Expected: the backlog is full.
       }
-      startWatch((InetSocketAddress) full.getLocalSocketAddress(), 200, 60_000);
+      startWatch((InetSocketAddress) fullServer.getLocalSocketAddress(), 200, 60_000);
       assertEquals("failed", listener.next());
-      for (Socket socket : waiting) {
+      for (Socket socket : sockets) {
         socket.close();
       }
     }
   }
 
-  /** Heartbeats behind a partial first list are white space inside it. */
+  /** Heartbeats after a partial first list are white space inside the list. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void partialFirstListTimesOutAlthoughHeartbeatsContinue(boolean withHead) throws Exception {
+  void partialFirstListTimesOutWhileHeartbeatsContinue(boolean sentWithHead) throws Exception {
     String part = "{\"index\": 8,\n";
     try (FakeHttpServer server =
         new FakeHttpServer(
             (request, connection, output) -> {
-              if (withHead) {
+              if (sentWithHead) {
                 FakeHttpServer.write(
                     output,
                     RESPONSE_HEAD + Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
@@ -193,7 +200,7 @@
   }
 
   @Test
-  void rejectedWatchFails() throws Exception {
+  void errorStatusFailsTheWatch() throws Exception {
     try (FakeHttpServer server =
         new FakeHttpServer(
             (request, connection, output) ->
--- a/src/test/java/loadbalancer/proxy/discovery/RecordingListener.java
+++ b/src/test/java/loadbalancer/proxy/discovery/RecordingListener.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.TimeUnit;
 import loadbalancer.config.EndpointList;
 
-/** Records what a watch notifies: each list, and "failed" for a failure on the event loop. */
+/** Records the events of a watch: each list, and "failed" for a failure on the event loop. */
 final class RecordingListener implements DiscoveryListener {
 
-  /** What was notified and not taken yet. */
+  /** The events that {@link #next} has not returned yet, oldest first. */
   final BlockingQueue<Object> events = new LinkedBlockingQueue<>();
 
   private final EventLoop loop;
@@ -18,7 +18,7 @@
     this.loop = loop;
   }
 
-  /** Takes the next event; null if none comes within 30 s. */
+  /** Waits for the next event and removes it; returns null if none arrives within 30 s. */
   Object next() throws InterruptedException {
     return events.poll(30, TimeUnit.SECONDS);
   }
--- a/src/test/java/loadbalancer/proxy/discovery/WatchTestSupport.java
+++ b/src/test/java/loadbalancer/proxy/discovery/WatchTestSupport.java
@@ -7,24 +7,24 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 
-/** A watch on an event loop of its own, with a listener that records what it notifies. */
+/** Starts watches on an event loop of their own, with a listener that records their events. */
 abstract class WatchTestSupport {
 
   final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   final RecordingListener listener = new RecordingListener(loop);
 
-  /** Starts a watch with one limit on silence and on the first response. */
-  DiscoveryClient startWatch(InetSocketAddress address, long silenceMillis) {
-    return startWatch(address, silenceMillis, silenceMillis);
+  /** Starts a watch whose first response timeout equals its idle timeout. */
+  DiscoveryClient startWatch(InetSocketAddress address, long idleTimeoutMillis) {
+    return startWatch(address, idleTimeoutMillis, idleTimeoutMillis);
   }
 
   DiscoveryClient startWatch(
-      InetSocketAddress address, long firstResponseMillis, long silenceMillis) {
+      InetSocketAddress address, long firstResponseTimeoutMillis, long idleTimeoutMillis) {
     DiscoveryClient discovery =
         new DiscoveryClient(
             loop,
             WatchTarget.of(address, 7),
-            new WatchTimeouts(firstResponseMillis, silenceMillis),
+            new WatchTimeouts(firstResponseTimeoutMillis, idleTimeoutMillis),
             listener);
     loop.execute(() -> discovery.watch(true));
     return discovery;
--- a/src/test/java/loadbalancer/proxy/discovery/WatchTimeoutsTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/WatchTimeoutsTest.java
@@ -18,31 +18,36 @@
 import loadbalancer.proxy.TestProxy;
 import org.junit.jupiter.api.Test;
 
-/** The time limits of a watch, against the protocol's figures and the back-off of the policy. */
+/** The timeouts of a watch against the time limits of the protocol and the policy's backoff. */
 class WatchTimeoutsTest {
 
-  /** The protocol's figures are written out here a second time, as literals. */
+  /** Repeats the protocol's figures as literals, so that a wrong constant is noticed. */
   @Test
-  void timeoutAndBackOffTogetherStayWithinTheProtocolsLimits() throws Exception {
-    long heartbeat = 2_000;
-    long notifiedAfterSilence = 6_000;
-    long notifiedAfterReload = 4_000;
-    long margin = 500;
-    long backOff = longestBackOffMillis();
-    assertTrue(WatchTimeouts.SILENCE_MILLIS > 2 * heartbeat, "one late heartbeat is not silence");
+  void timeoutPlusBackoffStaysWithinTheProtocolsLimits() throws Exception {
+    long heartbeatMillis = 2_000;
+    long notifiedAfterIdleMillis = 6_000;
+    long notifiedAfterReloadMillis = 4_000;
+    long marginMillis = 500;
+    long backoffMillis = longestBackoffMillis();
     assertTrue(
-        WatchTimeouts.FIRST_RESPONSE_MILLIS > heartbeat, "a late first heartbeat is not a failure");
+        WatchTimeouts.IDLE_TIMEOUT_MILLIS > 2 * heartbeatMillis,
+        "one late heartbeat must not fail the watch");
     assertTrue(
-        WatchTimeouts.SILENCE_MILLIS + backOff <= notifiedAfterSilence - margin,
-        "silence, back-off " + backOff);
+        WatchTimeouts.FIRST_RESPONSE_TIMEOUT_MILLIS > heartbeatMillis,
+        "a late first heartbeat must not fail the watch");
     assertTrue(
-        WatchTimeouts.FIRST_RESPONSE_MILLIS + backOff <= notifiedAfterReload - margin,
-        "no first response, back-off " + backOff);
-    assertTrue(backOff > 500, "the back-off still grows: " + backOff);
+        WatchTimeouts.IDLE_TIMEOUT_MILLIS + backoffMillis <= notifiedAfterIdleMillis - marginMillis,
+        "idle timeout plus backoff of " + backoffMillis + " ms");
+    assertTrue(
+        WatchTimeouts.FIRST_RESPONSE_TIMEOUT_MILLIS + backoffMillis
+            <= notifiedAfterReloadMillis - marginMillis,
+        "first response timeout plus backoff of " + backoffMillis + " ms");
+    assertTrue(
+        backoffMillis > 500, "the longest backoff was not reached: " + backoffMillis + " ms");
   }
 
-  /** The longest back-off of the policy, over a run of failures and many seeds. */
-  private static long longestBackOffMillis() throws Exception {
+  /** Returns the policy's longest backoff over 20 failures in a row with each of 100 seeds. */
+  private static long longestBackoffMillis() throws Exception {
     PolicySettings settings =
         PolicySettingsReader.read(
             JsonObjectReader.parse(
@@ -63,12 +68,12 @@
             nowNanos,
             new EndpointListUpdate(EndpointListUpdate.Kind.FAILED, List.of()),
             actions::add);
-        long failedNanos = nowNanos;
+        long failedAtNanos = nowNanos;
         while (!actions.contains(new WatchEndpoints(true))) {
           nowNanos = ((SetTimer) actions.get(actions.size() - 1)).fireAtNanos();
           policy.handle(nowNanos, new TimerFired("sweep"), actions::add);
         }
-        longestNanos = Math.max(longestNanos, nowNanos - failedNanos);
+        longestNanos = Math.max(longestNanos, nowNanos - failedAtNanos);
       }
     }
     return TimeUnit.NANOSECONDS.toMillis(longestNanos) + 1;
