--- a/src/main/java/loadbalancer/config/EndpointList.java
+++ b/src/main/java/loadbalancer/config/EndpointList.java
@@ -8,15 +8,16 @@
 import loadbalancer.policy.event.EndpointStatus;
 
 /**
- * An endpoint list of the discovery service; immutable.
+ * A message of the discovery service: either the full endpoint list or the changes to it.
+ * Immutable.
  *
- * @param version of the service's list after this update
- * @param full whether this is the full list; otherwise it holds the changed entries only
+ * @param version the version of the service's list after this message
+ * @param full whether {@code endpoints} is the complete list; if not, it holds the changed entries
  * @param endpoints the entries
  */
 public record EndpointList(long version, boolean full, List<Endpoint> endpoints) {
 
-  private static final Map<String, EndpointStatus> STATUSES =
+  private static final Map<String, EndpointStatus> STATUS_BY_NAME =
       Map.of(
           "in_service",
           EndpointStatus.READY,
@@ -33,15 +34,15 @@
   private static final long FNV_PRIME = 0x100000001b3L;
 
   /**
-   * One entry.
+   * One entry of the list.
    *
-   * @param address where the endpoint listens, as seen from this proxy
-   * @param descriptor what the policy gets to know of it
+   * @param address the address at which this proxy reaches the endpoint
+   * @param descriptor the properties of the endpoint that the policy uses
    */
   public record Endpoint(InetSocketAddress address, EndpointDescriptor descriptor) {}
 
   /**
-   * Reads a list in the form of the discovery service.
+   * Reads a list from the JSON that the discovery service sends.
    *
    * @throws WireFormatException if a field is missing or malformed
    */
@@ -52,7 +53,10 @@
         list.objects("endpoints").stream().map(EndpointList::endpoint).toList());
   }
 
-  /** The version and the number of entries by status, as key=value pairs for a log line. */
+  /**
+   * Formats {@code version}, {@code full} and the number of entries of each status as key=value
+   * pairs for a log line.
+   */
   public String summary() {
     StringBuilder text = new StringBuilder("version=" + version + " full=" + full);
     for (EndpointStatus status : EndpointStatus.values()) {
@@ -73,15 +77,15 @@
             endpointId(entry.text("name")),
             entry.text("zone", ""),
             (int) entry.integer("group", 0),
-            entry.word("status", STATUSES),
+            entry.enumValue("status", STATUS_BY_NAME),
             entry.integer("since_ms", 0) * NANOS_PER_MILLI,
             entry.number("weight", 1));
     return new Endpoint(entry.address("address"), descriptor);
   }
 
   /**
-   * The number that stands for an endpoint's name: its FNV-1a hash, the same at every proxy and
-   * after every restart, so that all proxies agree on the hash ring.
+   * Returns the id of the endpoint of this name: the 64-bit FNV-1a hash of the name. The id does
+   * not depend on the proxy or the process, so all proxies build the same hash ring.
    */
   public static long endpointId(String name) {
     long hash = FNV_OFFSET_BASIS;
--- a/src/main/java/loadbalancer/config/IpSocketAddress.java
+++ b/src/main/java/loadbalancer/config/IpSocketAddress.java
@@ -5,16 +5,19 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 
-/** The text form ADDRESS:PORT of a socket address, as in the configuration and endpoint lists. */
+/**
+ * Parses and formats socket addresses as {@code ADDRESS:PORT}, the form that the configuration,
+ * endpoint lists and log lines use.
+ */
 public final class IpSocketAddress {
 
   private IpSocketAddress() {}
 
   /**
-   * Reads an IP address and a port. Host names are not accepted: there is no DNS, and a look-up
+   * Parses an IP address and a port. Host names are not accepted: there is no DNS, and a lookup
    * would block the event loop.
    *
-   * @return empty if the text is not of that form
+   * @return the address, or empty if the text is malformed or the port is out of range
    */
   public static Optional<InetSocketAddress> parse(String text) {
     int colon = text.lastIndexOf(':');
@@ -29,12 +32,12 @@
       return Optional.of(
           new InetSocketAddress(address, Integer.parseInt(text.substring(colon + 1))));
     } catch (IllegalArgumentException invalidPort) {
-      // Not a number, or out of range.
+      // The port is not a number or not from 0 to 65535.
       return Optional.empty();
     }
   }
 
-  /** The text of an address, for a log line. */
+  /** Formats an address for a log line. */
   public static String format(InetSocketAddress address) {
     return address.getHostString() + ":" + address.getPort();
   }
--- a/src/main/java/loadbalancer/config/JsonObjectReader.java
+++ b/src/main/java/loadbalancer/config/JsonObjectReader.java
@@ -14,9 +14,9 @@
 import java.util.TreeSet;
 
 /**
- * A JSON object with checked access to its fields. A field that is missing, though required, or of
- * the wrong type is a {@link WireFormatException} that names it by its path; a field that holds
- * null counts as absent.
+ * Reads the fields of a JSON object with type checks. A getter throws a {@link WireFormatException}
+ * that names the field by its path if a required field is missing or a field has the wrong type. A
+ * field that is null counts as missing.
  */
 public final class JsonObjectReader {
 
@@ -31,20 +31,22 @@
   }
 
   /**
-   * Reads a text that holds one JSON object and nothing else.
+   * Parses a text that consists of exactly one JSON object.
    *
-   * @param path the name of the object in messages
-   * @throws IOException if the text is not JSON
-   * @throws WireFormatException if it is empty, no object, or holds more than one value
+   * @param path the name of the object, used as the root of field paths in error messages
+   * @throws IOException if the text is not valid JSON
+   * @throws WireFormatException if the text is empty, holds more than one value or a value that is
+   *     not an object, or holds an integer that does not fit in 64 bits
    */
   public static JsonObjectReader parse(String path, String text) throws IOException {
     try (JsonParser parser = JSON.createParser(text)) {
       if (parser.nextToken() == null) {
-        throw new WireFormatException("expected a " + path + ", got an empty line");
+        throw unexpected(path, "one JSON object", null);
       }
       Object value = readValue(parser);
       if (parser.nextToken() != null) {
-        throw new WireFormatException("expected one value a line, got more");
+        throw new WireFormatException(
+            "field " + path + ": expected one JSON object, got more than one value");
       }
       return asObject(path, value);
     }
@@ -83,12 +85,12 @@
 
   private static Long readInteger(JsonParser parser) throws IOException {
     if (parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
-      throw new WireFormatException("number " + parser.getText() + " does not fit 64 bits");
+      throw new WireFormatException("expected a 64-bit integer, got " + parser.getText());
     }
     return parser.getLongValue();
   }
 
-  /** The value as an object: {@link #readObject} makes all maps, so their keys are names. */
+  /** Wraps a value as an object. All maps come from {@link #readObject}, so keys are strings. */
   @SuppressWarnings("unchecked")
   private static JsonObjectReader asObject(String path, Object value) {
     if (value instanceof Map<?, ?> map) {
@@ -113,38 +115,38 @@
     return unexpected(path + "." + name, expected, values.get(name));
   }
 
-  /** The names of all fields, in their order. */
+  /** Returns the names of all fields, null ones included, in the order of the JSON text. */
   public Set<String> fieldNames() {
     return Collections.unmodifiableSet(values.keySet());
   }
 
-  /** The path of this object in messages. */
+  /** Returns the path of this object as used in error messages. */
   public String path() {
     return path;
   }
 
-  /** Whether the field is there. */
+  /** Returns whether the field is present and not null. */
   public boolean has(String name) {
     return values.get(name) != null;
   }
 
-  /** A required whole number. */
+  /** Returns a required integer. */
   public long integer(String name) {
     if (values.get(name) instanceof Long number) {
       return number;
     }
-    throw unexpected(name, "a whole number");
+    throw unexpected(name, "an integer");
   }
 
-  /** A whole number, or {@code absent} if it is not there. */
-  public long integer(String name, long absent) {
-    return has(name) ? integer(name) : absent;
+  /** Returns an integer, or the default if the field is missing. */
+  public long integer(String name, long defaultValue) {
+    return has(name) ? integer(name) : defaultValue;
   }
 
-  /** A number, or {@code absent} if it is not there. */
-  public double number(String name, double absent) {
+  /** Returns a number, or the default if the field is missing. */
+  public double number(String name, double defaultValue) {
     if (!has(name)) {
-      return absent;
+      return defaultValue;
     }
     if (values.get(name) instanceof Number number) {
       return number.doubleValue();
@@ -152,7 +154,7 @@
     throw unexpected(name, "a number");
   }
 
-  /** A required truth value. */
+  /** Returns a required boolean. */
   public boolean bool(String name) {
     if (values.get(name) instanceof Boolean flag) {
       return flag;
@@ -160,45 +162,45 @@
     throw unexpected(name, "true or false");
   }
 
-  /** A truth value, or {@code absent} if it is not there. */
-  public boolean bool(String name, boolean absent) {
-    return has(name) ? bool(name) : absent;
+  /** Returns a boolean, or the default if the field is missing. */
+  public boolean bool(String name, boolean defaultValue) {
+    return has(name) ? bool(name) : defaultValue;
   }
 
-  /** A required text. */
+  /** Returns a required string. */
   public String text(String name) {
     if (values.get(name) instanceof String text) {
       return text;
     }
-    throw unexpected(name, "a text");
+    throw unexpected(name, "a string");
   }
 
-  /** A text, or {@code absent} if it is not there. */
-  public String text(String name, String absent) {
-    return has(name) ? text(name) : absent;
+  /** Returns a string, or the default if the field is missing. */
+  public String text(String name, String defaultValue) {
+    return has(name) ? text(name) : defaultValue;
   }
 
-  /** A required IP address and port. */
+  /** Returns a required IP address and port, which the field holds as one string. */
   public InetSocketAddress address(String name) {
     return IpSocketAddress.parse(text(name)).orElseThrow(() -> unexpected(name, "ADDRESS:PORT"));
   }
 
-  /** A required nested object. */
+  /** Returns a required nested object. */
   public JsonObjectReader object(String name) {
     return asObject(path + "." + name, values.get(name));
   }
 
-  /** A nested object, or an empty one if it is not there. */
+  /** Returns a nested object, or an empty object if the field is missing. */
   public JsonObjectReader nested(String name) {
     return has(name) ? object(name) : new JsonObjectReader(path + "." + name, Map.of());
   }
 
-  /** Whether the field holds the whole number 0. */
+  /** Returns whether the field holds the integer 0. */
   public boolean isZero(String name) {
     return values.get(name) instanceof Long number && number == 0;
   }
 
-  /** A required array of objects. */
+  /** Returns the elements of a required array of objects. */
   public List<JsonObjectReader> objects(String name) {
     if (!(values.get(name) instanceof List<?> list)) {
       throw unexpected(name, "an array");
@@ -210,21 +212,28 @@
     return objects;
   }
 
-  /** A required text that is one of the table's keys; returns the table's value for it. */
-  public <T> T word(String name, Map<String, T> words) {
-    T value = words.get(text(name));
+  /**
+   * Returns the value that a required string stands for.
+   *
+   * @param valuesByName the allowed strings and their values
+   */
+  public <T> T enumValue(String name, Map<String, T> valuesByName) {
+    T value = valuesByName.get(text(name));
     if (value == null) {
-      throw unexpected(name, "one of " + new TreeSet<>(words.keySet()));
+      throw unexpected(name, "one of " + new TreeSet<>(valuesByName.keySet()));
     }
     return value;
   }
 
-  /** A text that is one of the table's keys, or {@code absent} if it is not there. */
-  <T> T word(String name, Map<String, T> words, T absent) {
-    return has(name) ? word(name, words) : absent;
+  /** Returns the value that a string stands for, or the default if the field is missing. */
+  <T> T enumValue(String name, Map<String, T> valuesByName, T defaultValue) {
+    return has(name) ? enumValue(name, valuesByName) : defaultValue;
   }
 
-  /** The numbers of a nested object by name; other values are skipped, absent is empty. */
+  /**
+   * Returns the numeric fields of a nested object by name, skipping fields of other types. Returns
+   * an empty map if the object is missing.
+   */
   public Map<String, Double> numbers(String name) {
     if (!has(name)) {
       return Map.of();
--- a/src/main/java/loadbalancer/config/PolicySettingsReader.java
+++ b/src/main/java/loadbalancer/config/PolicySettingsReader.java
@@ -14,12 +14,12 @@
 import loadbalancer.policy.settings.WeightKind;
 
 /**
- * Maps the settings object, whose field names are those of the wire, to the policy's settings.
- * Unknown fields are skipped; absent ones get the defaults written here.
+ * Reads the policy's settings from JSON, in the configuration file as well as in the simulator's
+ * messages. Unknown fields are ignored; missing optional fields get the defaults of this class.
  */
 public final class PolicySettingsReader {
 
-  private static final Map<String, RequestEffect> EFFECTS =
+  private static final Map<String, RequestEffect> REQUEST_EFFECTS =
       Map.of(
           "idempotent", RequestEffect.IDEMPOTENT,
           "deduplicated", RequestEffect.IDEMPOTENT_WITH_KEY,
@@ -35,7 +35,7 @@
           "nominal", WeightKind.NOMINAL,
           "rough", WeightKind.ROUGH,
           "live", WeightKind.LIVE);
-  private static final Map<String, Boolean> LIST_POLLED_BY_MODE =
+  private static final Map<String, Boolean> POLLED_BY_REGISTRY_MODE =
       Map.of("pushed", false, "on_request", true);
 
   private static final long DEFAULT_CONNECT_TIMEOUT_NANOS = 250_000_000L;
@@ -49,13 +49,13 @@
   private PolicySettingsReader() {}
 
   /**
-   * Reads the settings.
+   * Reads and validates the settings.
    *
-   * @throws WireFormatException if a field is missing or of the wrong type
-   * @throws IllegalArgumentException if the settings make no sense
+   * @throws WireFormatException if a required field is missing or a field has the wrong type
+   * @throws IllegalArgumentException if a value is out of range
    */
   public static PolicySettings read(JsonObjectReader settings) {
-    boolean polled = settings.word("registry-mode", LIST_POLLED_BY_MODE, false);
+    boolean polled = settings.enumValue("registry-mode", POLLED_BY_REGISTRY_MODE, false);
     return new PolicySettings(
         (int) settings.integer("me", 0),
         (int) settings.integer("group-size", 1),
@@ -66,7 +66,7 @@
         serviceRules(settings.nested("contract"), polled),
         costs(settings.nested("prices")),
         polled,
-        settings.word("weight-kind", WEIGHT_KINDS, WeightKind.NONE),
+        settings.enumValue("weight-kind", WEIGHT_KINDS, WeightKind.NONE),
         settings.number("over-share-worth", 1),
         settings.nested("domain").bool("warm-keys", false),
         settings.integer("resolution-ns", DEFAULT_CLOCK_RESOLUTION_NANOS));
@@ -84,8 +84,8 @@
     long latencyObjectiveNanos = category.integer("aim-ns");
     return new RequestClass(
         category.text("name"),
-        category.word("effect", EFFECTS, RequestEffect.NOT_IDEMPOTENT),
-        category.word("dedup-scope", DEDUPLICATION_SCOPES, DeduplicationScope.CELL),
+        category.enumValue("effect", REQUEST_EFFECTS, RequestEffect.NOT_IDEMPOTENT),
+        category.enumValue("dedup-scope", DEDUPLICATION_SCOPES, DeduplicationScope.CELL),
         category.integer("window-ns", 0),
         latencyObjectiveNanos,
         category.number("aim-stretch", 0),
--- a/src/main/java/loadbalancer/config/ProxyConfiguration.java
+++ b/src/main/java/loadbalancer/config/ProxyConfiguration.java
@@ -9,15 +9,15 @@
 import loadbalancer.policy.settings.PolicySettings;
 
 /**
- * What the platform configures a proxy with; immutable.
+ * The configuration of a proxy process; immutable.
  *
- * @param name of the proxy, the same after a restart
+ * @param name the proxy's name, which stays the same across restarts
  * @param listen the address that clients connect to
  * @param discovery the address of the discovery service
- * @param seed of the policy's random numbers
- * @param sockets how many file descriptors the process may hold
- * @param known the endpoint list as the proxy last had it; it may be old
- * @param settings of the policy
+ * @param seed the seed of the policy's random number generator
+ * @param sockets the maximum number of file descriptors that the process may hold
+ * @param known the last endpoint list that the proxy had; it may be stale
+ * @param settings the settings of the policy
  */
 public record ProxyConfiguration(
     String name,
@@ -28,25 +28,27 @@
     EndpointList known,
     PolicySettings settings) {
 
-  /** The variable that names the configuration file. */
+  /** The environment variable that holds the path of the configuration file. */
   public static final String FILE_VARIABLE = "PROXY_CONFIG";
 
   private static final int DEFAULT_SOCKETS = 1024;
   private static final int SEED_RADIX = 16;
 
   /**
-   * Reads the file that {@link #FILE_VARIABLE} names; the variables PROXY_NAME, PROXY_LISTEN and
-   * PROXY_DISCOVERY, where set, override its fields.
+   * Reads the file that {@link #FILE_VARIABLE} names. The environment variables PROXY_NAME,
+   * PROXY_LISTEN and PROXY_DISCOVERY override fields of the file unless they are unset or empty.
    *
-   * @throws IOException if the file cannot be read or is not JSON
-   * @throws WireFormatException if a field is missing or of the wrong type
-   * @throws ConfigurationException if a value is not usable
-   * @throws IllegalArgumentException if the settings of the policy make no sense
+   * @throws IOException if the file cannot be read or is not valid JSON
+   * @throws WireFormatException if a required field is missing or a field has the wrong type
+   * @throws ConfigurationException if {@link #FILE_VARIABLE} is unset, or an address, the seed or
+   *     limits.sockets is invalid
+   * @throws IllegalArgumentException if a setting of the policy is out of range
    */
   public static ProxyConfiguration read(Map<String, String> environment) throws IOException {
     String file = environment.get(FILE_VARIABLE);
     if (file == null) {
-      throw new ConfigurationException(FILE_VARIABLE, "the path of a file", "nothing");
+      throw new ConfigurationException(
+          FILE_VARIABLE, "the path of the configuration file", "nothing");
     }
     JsonObjectReader fields =
         JsonObjectReader.parse("configuration", Files.readString(Path.of(file)));
@@ -61,10 +63,10 @@
   }
 
   /**
-   * Reads the file again for a reload. The file alone counts: the other variables are as old as the
-   * process.
+   * Reads the file again for a reload. Environment variables do not override its fields: they have
+   * not changed since the process started.
    *
-   * @throws IOException as {@link #read}, which also says what else is thrown
+   * @throws IOException as {@link #read}, which lists the other exceptions too
    */
   public static ProxyConfiguration readFileOnly(Map<String, String> environment)
       throws IOException {
@@ -86,18 +88,19 @@
     try {
       return Long.parseUnsignedLong(text, SEED_RADIX);
     } catch (NumberFormatException notHexadecimal) {
-      throw new ConfigurationException("seed", "hex digits", quoted(text));
+      throw new ConfigurationException("seed", "a 64-bit hexadecimal number", quoted(text));
     }
   }
 
   private static int sockets(long limit) {
     if (limit <= 0 || limit > Integer.MAX_VALUE) {
-      throw new ConfigurationException("limits.sockets", "a count above 0", Long.toString(limit));
+      throw new ConfigurationException(
+          "limits.sockets", "a number from 1 to " + Integer.MAX_VALUE, Long.toString(limit));
     }
     return (int) limit;
   }
 
-  /** The list, or the empty one of version 0 where the configuration has none. */
+  /** Reads the list, or returns an empty one of version 0 if the configuration has none. */
   private static EndpointList knownEndpoints(JsonObjectReader known) {
     return known.has("endpoints")
         ? EndpointList.fromJson(known)
--- a/src/main/java/loadbalancer/config/WireFormatException.java
+++ b/src/main/java/loadbalancer/config/WireFormatException.java
@@ -1,14 +1,14 @@
 package loadbalancer.config;
 
 /**
- * Malformed input; the message says which field, what was expected and what it held and, where the
- * input has lines, on which line.
+ * Thrown for malformed JSON input. The message names the field, what it must hold and what it holds
+ * and, for line-based input, the line number.
  */
 public final class WireFormatException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
-  /** An exception with this message. */
+  /** Creates an exception with this message. */
   public WireFormatException(String message) {
     super(message);
   }
--- a/src/main/java/loadbalancer/config/package-info.java
+++ b/src/main/java/loadbalancer/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads JSON: the platform's configuration, the endpoint lists of discovery and the policy's
- * settings. With the simulator package, the one place that knows the field names of the wire.
+ * Reads JSON: the configuration file, the endpoint lists of the discovery service and the policy's
+ * settings. Only this package and the simulator package depend on JSON field names.
  */
 package loadbalancer.config;
--- a/src/main/java/loadbalancer/simulator/ActionEncoder.java
+++ b/src/main/java/loadbalancer/simulator/ActionEncoder.java
@@ -17,8 +17,9 @@
 import loadbalancer.policy.action.WatchEndpoints;
 
 /**
- * Maps the policy's actions to the simulator's messages, with the wire's names: each is an object
- * whose single key is the message's name and holds an object with its fields.
+ * Encodes the policy's actions as messages of the simulator protocol. Each message is a JSON object
+ * with a single field, whose name is the message type and whose value is an object with the
+ * message's fields.
  */
 final class ActionEncoder {
 
@@ -28,7 +29,7 @@
    * Writes one action as a message.
    *
    * @throws IOException if the generator's output fails
-   * @throws IllegalStateException for an action that has no message on the wire, which is a defect
+   * @throws IllegalStateException if no message is defined for the action, which is a bug
    */
   static void write(JsonGenerator out, Action action) throws IOException {
     if (action instanceof ForwardAttempt forward) {
@@ -55,24 +56,24 @@
     } else if (action instanceof LogMessage log) {
       writeTextMessage(out, "Emit", "note-text", log.text());
     } else {
-      throw new IllegalStateException("no message on the wire for action " + action);
+      throw new IllegalStateException("no simulator message is defined for action " + action);
     }
   }
 
   /**
-   * Writes the message that an instance's policy threw, with the place of the exception. The
-   * simulator ends the day with this text.
+   * Writes a message that reports an exception thrown by a policy, with the location of the throw.
+   * The simulator ends its run with this text.
    *
    * @throws IOException if the generator's output fails
    */
-  static void writeFault(JsonGenerator out, RuntimeException defect) throws IOException {
-    StackTraceElement[] trace = defect.getStackTrace();
-    String place = trace.length == 0 ? "unknown place" : trace[0].toString();
+  static void writeFault(JsonGenerator out, RuntimeException exception) throws IOException {
+    StackTraceElement[] trace = exception.getStackTrace();
+    String location = trace.length == 0 ? "unknown location" : trace[0].toString();
     writeTextMessage(
         out,
         "Fault",
         "note-text",
-        defect.getClass().getName() + ": " + defect.getMessage() + " at " + place);
+        exception.getClass().getName() + ": " + exception.getMessage() + " at " + location);
   }
 
   private static void writeForwardAttempt(JsonGenerator out, ForwardAttempt forward)
@@ -122,7 +123,7 @@
     endMessage(out);
   }
 
-  /** Writes a message whose only field is a text. */
+  /** Writes a message whose only field is a string. */
   private static void writeTextMessage(JsonGenerator out, String name, String field, String text)
       throws IOException {
     startMessage(out, name);
@@ -130,7 +131,7 @@
     endMessage(out);
   }
 
-  /** Writes a message whose only field is the endpoint that it concerns. */
+  /** Writes a message whose only field is an endpoint id. */
   private static void writeEndpointMessage(JsonGenerator out, String name, long endpointId)
       throws IOException {
     startMessage(out, name);
--- a/src/main/java/loadbalancer/simulator/EventDecoder.java
+++ b/src/main/java/loadbalancer/simulator/EventDecoder.java
@@ -20,8 +20,8 @@
 import loadbalancer.policy.event.TimerFired;
 
 /**
- * Maps the simulator's messages, with the wire's names, to the policy's events. Fields that no
- * event has use for are skipped, as are unknown ones.
+ * Decodes messages of the simulator protocol into the policy's events. Fields that no event uses
+ * are ignored, as are unknown ones.
  */
 final class EventDecoder {
 
@@ -50,12 +50,14 @@
   private EventDecoder() {}
 
   /**
-   * Decodes a message by its name; start and stop of an instance are not among these.
+   * Decodes a message of the given type. {@code Provision} and {@code Kill}, which create and
+   * remove a policy, are not events and count as unknown here.
    *
-   * @throws WireFormatException if the message is unknown or a field is malformed
+   * @throws WireFormatException if the type is unknown, a required field is missing or a field is
+   *     malformed
    */
-  static Event decode(String messageName, JsonObjectReader fields) {
-    return switch (messageName) {
+  static Event decode(String messageType, JsonObjectReader fields) {
+    return switch (messageType) {
       case "Topology" -> endpointListUpdate(fields);
       case "JobIn" -> requestArrived(fields);
       case "First" -> responseStarted(fields);
@@ -65,7 +67,7 @@
       case "HealthResult" -> healthCheckCompleted(fields);
       case "Datagram" ->
           new PeerMessageReceived((int) fields.integer("neighbour"), payload(fields));
-      default -> throw new WireFormatException("field " + fields.path() + ": unknown event");
+      default -> throw new WireFormatException("field " + fields.path() + ": unknown event type");
     };
   }
 
@@ -93,7 +95,7 @@
         fields.text("rid"),
         (int) fields.integer("go"),
         fields.integer("upstream"),
-        fields.word("rc", ATTEMPT_STATUSES),
+        fields.enumValue("rc", ATTEMPT_STATUSES),
         fields.integer("wait-time-ns"),
         fields.bool("done-flag"),
         fields.numbers("usage"));
@@ -102,12 +104,14 @@
   private static HealthCheckCompleted healthCheckCompleted(JsonObjectReader fields) {
     return new HealthCheckCompleted(
         fields.integer("upstream"),
-        fields.word("rc", ATTEMPT_STATUSES),
+        fields.enumValue("rc", ATTEMPT_STATUSES),
         fields.integer("wait-time-ns"),
         fields.numbers("usage"));
   }
 
-  /** The tenant, or null: deployments without tenants leave the field out or write 0. */
+  /**
+   * Returns the tenant, or null if the field is missing or 0, as in deployments without tenants.
+   */
   private static String tenant(JsonObjectReader fields) {
     return fields.isZero("user-group") ? null : fields.text("user-group", null);
   }
@@ -123,10 +127,10 @@
   }
 
   private static EndpointListUpdate endpointListUpdate(JsonObjectReader fields) {
-    EndpointListUpdate.Kind kind = fields.word("kind", UPDATE_KINDS);
+    EndpointListUpdate.Kind kind = fields.enumValue("kind", UPDATE_KINDS);
     List<EndpointDescriptor> entries = new ArrayList<>();
-    boolean mayLackEntries = kind == EndpointListUpdate.Kind.FAILED;
-    if (!mayLackEntries || fields.has("entries")) {
+    boolean entriesOptional = kind == EndpointListUpdate.Kind.FAILED;
+    if (!entriesOptional || fields.has("entries")) {
       for (JsonObjectReader entry : fields.objects("entries")) {
         entries.add(endpointDescriptor(entry));
       }
@@ -139,7 +143,7 @@
         entry.integer("upstream"),
         entry.text("region-part", ""),
         (int) entry.integer("pack", 0),
-        entry.word("stage-state", ENDPOINT_STATUSES),
+        entry.enumValue("stage-state", ENDPOINT_STATUSES),
         entry.integer("launched-ns", 0),
         entry.number("capacity-hint", 1));
   }
--- a/src/main/java/loadbalancer/simulator/SimulatorSession.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorSession.java
@@ -22,46 +22,46 @@
 import loadbalancer.policy.event.Event;
 
 /**
- * A session with the simulator: reads batches of events, one JSON object a line, and answers each
- * with one line of actions. Holds one policy for each balancer; they share nothing but the batch's
- * clock. Runs in the thread that calls {@link #run}.
+ * A session with the simulator. Reads batches of events, one JSON object per line, and replies to
+ * each with one line of actions. Keeps a separate policy for each simulated balancer; the policies
+ * share only the time of the batch. Not thread-safe: runs on the thread that calls {@link #run}.
  */
 public final class SimulatorSession {
 
   private static final int BUFFER_BYTES = 1 << 16;
 
   private final JsonFactory json = new JsonFactory();
-  private final BufferedReader batches;
-  private final OutputStream replies;
+  private final BufferedReader input;
+  private final OutputStream output;
   private final Map<Long, LoadBalancingPolicy> policyByBalancer = new HashMap<>();
 
   /**
-   * Makes a session that has read nothing yet; it closes neither stream.
+   * Creates a session, which closes neither stream.
    *
-   * @param batches where the simulator's batches come from, in UTF-8
-   * @param replies where the replies go, in UTF-8; flushed after each
+   * @param input the stream of batches, in UTF-8
+   * @param output the stream for the replies, in UTF-8; flushed after each reply
    */
-  public SimulatorSession(InputStream batches, OutputStream replies) {
-    this.batches =
-        new BufferedReader(new InputStreamReader(batches, StandardCharsets.UTF_8), BUFFER_BYTES);
-    this.replies = replies;
+  public SimulatorSession(InputStream input, OutputStream output) {
+    this.input =
+        new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8), BUFFER_BYTES);
+    this.output = output;
   }
 
   /**
-   * Answers batches until the input ends.
+   * Replies to batches until the input ends.
    *
-   * @throws WireFormatException if a batch is malformed, with its line number; nothing is written
-   *     in answer to it
-   * @throws IOException if a stream fails
+   * @throws WireFormatException if a batch is malformed; the message starts with the line number,
+   *     and nothing of the reply to that batch is written
+   * @throws IOException if reading or writing fails
    */
   public void run() throws IOException {
     long lineNumber = 0;
     ByteArrayOutputStream reply = new ByteArrayOutputStream(BUFFER_BYTES);
-    for (String line = batches.readLine(); line != null; line = batches.readLine()) {
+    for (String line = input.readLine(); line != null; line = input.readLine()) {
       lineNumber++;
       reply.reset();
       try (JsonGenerator out = json.createGenerator(reply)) {
-        answerBatch(JsonObjectReader.parse("batch", line), out);
+        handleBatch(JsonObjectReader.parse("batch", line), out);
       } catch (JsonProcessingException e) {
         throw new WireFormatException(
             "line " + lineNumber + ": not JSON: " + e.getOriginalMessage());
@@ -69,24 +69,24 @@
         throw new WireFormatException("line " + lineNumber + ": " + e.getMessage());
       }
       reply.write('\n');
-      reply.writeTo(replies);
-      replies.flush();
+      reply.writeTo(output);
+      output.flush();
     }
   }
 
-  private void answerBatch(JsonObjectReader batch, JsonGenerator out) throws IOException {
+  private void handleBatch(JsonObjectReader batch, JsonGenerator out) throws IOException {
     long nowNanos = batch.integer("clock-ns");
     out.writeStartObject();
     out.writeArrayFieldStart("groups");
     for (JsonObjectReader group : batch.objects("groups")) {
-      answerGroup(nowNanos, group, out);
+      handleGroup(nowNanos, group, out);
     }
     out.writeEndArray();
     out.writeEndObject();
   }
 
-  /** Answers the messages of one balancer in a batch. */
-  private void answerGroup(long nowNanos, JsonObjectReader group, JsonGenerator out)
+  /** Handles the messages of one balancer in a batch and writes its actions. */
+  private void handleGroup(long nowNanos, JsonObjectReader group, JsonGenerator out)
       throws IOException {
     long balancer = group.integer("balancer");
     out.writeStartObject();
@@ -102,38 +102,42 @@
   private void handleMessage(
       long nowNanos, long balancer, JsonObjectReader message, JsonGenerator out)
       throws IOException {
-    String name = messageName(message);
-    JsonObjectReader fields = message.object(name);
-    if (name.equals("Provision")) {
-      policyByBalancer.put(balancer, provision(fields));
+    String type = messageType(message);
+    JsonObjectReader fields = message.object(type);
+    if (type.equals("Provision")) {
+      policyByBalancer.put(balancer, createPolicy(fields));
       return;
     }
     LoadBalancingPolicy policy = policyByBalancer.get(balancer);
     if (policy == null) {
       throw new WireFormatException(
-          "field " + fields.path() + ": balancer " + balancer + " was never provisioned");
+          "field " + fields.path() + ": balancer " + balancer + " is not provisioned");
     }
-    if (name.equals("Kill")) {
+    if (type.equals("Kill")) {
       policyByBalancer.remove(balancer);
       return;
     }
-    handleEvent(policy, nowNanos, EventDecoder.decode(name, fields), out);
+    handleEvent(policy, nowNanos, EventDecoder.decode(type, fields), out);
   }
 
-  private static String messageName(JsonObjectReader message) {
+  /** Returns the message type: the name of the message's only field. */
+  private static String messageType(JsonObjectReader message) {
     if (message.fieldNames().size() != 1) {
       throw new WireFormatException(
-          "field " + message.path() + ": expected one event, got " + message.fieldNames().size());
+          "field "
+              + message.path()
+              + ": expected exactly one field, got "
+              + message.fieldNames().size());
     }
     return message.fieldNames().iterator().next();
   }
 
-  private static LoadBalancingPolicy provision(JsonObjectReader fields) {
+  private static LoadBalancingPolicy createPolicy(JsonObjectReader fields) {
     return new AdaptiveLoadBalancingPolicy(
         PolicySettingsReader.read(fields.object("boot-info")), fields.integer("seed"));
   }
 
-  /** Writes the policy's actions, or the fault message where it throws: that is a defect of it. */
+  /** Writes the policy's actions, and a fault message if the policy throws, which is a bug. */
   private static void handleEvent(
       LoadBalancingPolicy policy, long nowNanos, Event event, JsonGenerator out)
       throws IOException {
--- a/src/main/java/loadbalancer/simulator/package-info.java
+++ b/src/main/java/loadbalancer/simulator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Runs many policies on the simulator's wire, which is one JSON object a line on standard input and
- * output.
+ * Connects load-balancing policies to the simulator, which sends batches of events and receives
+ * actions as one JSON object per line on standard input and output.
  */
 package loadbalancer.simulator;
--- a/src/test/java/loadbalancer/simulator/ActionEncoderTest.java
+++ b/src/test/java/loadbalancer/simulator/ActionEncoderTest.java
@@ -23,13 +23,13 @@
 import loadbalancer.policy.action.WatchEndpoints;
 import org.junit.jupiter.api.Test;
 
-/** The message of each action, byte for byte. */
+/** Checks the exact JSON of each action's message. */
 class ActionEncoderTest {
 
-  private final StringWriter text = new StringWriter();
+  private final StringWriter json = new StringWriter();
 
   @Test
-  void everyActionHasItsMessage() throws IOException {
+  void everyActionIsEncodedAsItsMessage() throws IOException {
     List<Action> actions =
         List.of(
             new ForwardAttempt("a", 7, 5),
@@ -45,7 +45,7 @@
             new LogMessage("x"));
     assertEquals(Action.class.getPermittedSubclasses().length, actions.size());
 
-    try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
+    try (JsonGenerator out = new JsonFactory().createGenerator(json)) {
       out.writeStartArray();
       for (Action action : actions) {
         ActionEncoder.write(out, action);
@@ -60,19 +60,19 @@
             + "{\"Observe\":{\"enable\":false}},{\"Resolve\":{}},{\"SoundOut\":{\"upstream\":7}},"
             + "{\"Release\":{\"upstream\":7}},{\"BroadcastTo\":{\"recipient\":-1,\"octets\":\"aGkgNw==\"}},"
             + "{\"Emit\":{\"note-text\":\"x\"}}]",
-        text.toString());
+        json.toString());
   }
 
   @Test
-  void defectOfAPolicyIsAFaultThatNamesItAndItsPlace() throws IOException {
-    try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
+  void policyExceptionIsEncodedAsAFaultWithItsTypeMessageAndLocation() throws IOException {
+    try (JsonGenerator out = new JsonFactory().createGenerator(json)) {
       ActionEncoder.writeFault(out, new IllegalStateException("odd"));
     }
     assertTrue(
-        text.toString()
+        json.toString()
             .startsWith(
                 "{\"Fault\":{\"note-text\":\"java.lang.IllegalStateException: odd at"
                     + " loadbalancer.simulator.ActionEncoderTest."),
-        text.toString());
+        json.toString());
   }
 }
--- a/src/test/java/loadbalancer/simulator/EventDecoderTest.java
+++ b/src/test/java/loadbalancer/simulator/EventDecoderTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The policy's word for each word of the wire, and what a message may leave out. */
+/** Checks how each enum value of the wire is decoded and which fields a message may omit. */
 class EventDecoderTest {
 
-  private static Event decode(String messageName, String fields) throws IOException {
-    return EventDecoder.decode(messageName, JsonObjectReader.parse("message", fields));
+  private static Event decode(String messageType, String fields) throws IOException {
+    return EventDecoder.decode(messageType, JsonObjectReader.parse("message", fields));
   }
 
   @ParameterizedTest
@@ -36,7 +36,7 @@
     "called_off, CANCELLED",
     "not_sent, NOT_SENT"
   })
-  void resultIsTheAttemptStatus(String result, AttemptStatus status) throws IOException {
+  void resultIsDecodedAsAttemptStatus(String result, AttemptStatus status) throws IOException {
     Event event =
         decode("HealthResult", "{\"upstream\":7,\"wait-time-ns\":5,\"rc\":\"" + result + "\"}");
     assertEquals(status, ((HealthCheckCompleted) event).status());
@@ -44,21 +44,22 @@
 
   @ParameterizedTest
   @CsvSource({"up, READY", "draining, DRAINING", "removed, REMOVED"})
-  void stageIsTheEndpointStatus(String stage, EndpointStatus status) throws IOException {
-    String entry = "{\"upstream\":7,\"stage-state\":\"" + stage + "\"}";
+  void stageStateIsDecodedAsEndpointStatus(String stageState, EndpointStatus status)
+      throws IOException {
+    String entry = "{\"upstream\":7,\"stage-state\":\"" + stageState + "\"}";
     Event event = decode("Topology", "{\"kind\":\"F\",\"entries\":[" + entry + "]}");
     assertEquals(status, ((EndpointListUpdate) event).entries().get(0).status());
   }
 
   @ParameterizedTest
   @CsvSource({"D, DELTA", "F, FULL", "C, CACHED", "X, FAILED"})
-  void kindIsTheUpdateKind(String letter, EndpointListUpdate.Kind kind) throws IOException {
+  void kindIsDecodedAsUpdateKind(String letter, EndpointListUpdate.Kind kind) throws IOException {
     Event event = decode("Topology", "{\"kind\":\"" + letter + "\",\"entries\":[]}");
     assertEquals(kind, ((EndpointListUpdate) event).kind());
   }
 
   @Test
-  void onlyAFailedUpdateMayLackEntries() throws IOException {
+  void onlyAFailedUpdateMayOmitEntries() throws IOException {
     assertEquals(
         new EndpointListUpdate(EndpointListUpdate.Kind.FAILED, List.of()),
         decode("Topology", "{\"kind\":\"X\"}"));
@@ -69,7 +70,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", ",\"user-group\":0", ",\"user-group\":null"})
-  void requestOfADeploymentWithoutTenantsHasNone(String tenantField) throws IOException {
+  void requestWithoutUserGroupHasNoTenant(String tenantField) throws IOException {
     Event event =
         decode(
             "JobIn", "{\"rid\":\"c:a\",\"service\":\"c\",\"drop-dead-ns\":9" + tenantField + "}");
@@ -77,7 +78,7 @@
   }
 
   @Test
-  void unreadablePayloadIsReportedWithItsField() {
+  void invalidBase64IsReportedWithItsField() {
     WireFormatException malformed =
         assertThrows(
             WireFormatException.class,
--- a/src/test/java/loadbalancer/simulator/SimulatorSessionTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorSessionTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Sessions byte for byte, and each kind of malformed input. */
+/** Checks the exact replies of sessions and the error message for each kind of malformed input. */
 class SimulatorSessionTest {
 
   private static final String REQUEST_CLASS =
@@ -27,12 +27,12 @@
           + "{\"Topology\":{\"kind\":\"C\",\"stamp\":1,\"entries\":[{\"hw\":\"x\",\"launched-ns\":null,\"pack\":0,"
           + "\"upstream\":7,\"region-part\":\"\",\"stage-state\":\"up\",\"capacity-hint\":1}]}}]}]}";
 
-  private static final String REQUEST_ARRIVES =
+  private static final String JOB_IN =
       "{\"JobIn\":{\"rid\":\"c:a\",\"service\":\"c\",\"user-group\":0,"
           + "\"object\":\"91f03b7c55d20a64\",\"drop-dead-ns\":2500000000,\"weight-hint-ns\":null,\"retry\":false,"
           + "\"write\":false}}";
 
-  /** The replies to the lines. */
+  /** Runs a session on these lines and returns its replies. */
   private static String repliesTo(String... lines) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     String text = String.join("\n", lines) + "\n";
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void everyEventOfABalancersLifeIsDecoded() throws IOException {
+  void everyMessageTypeFromProvisionToKillIsDecoded() throws IOException {
     String expected =
         reply("{\"Observe\":{\"enable\":true}}")
             + reply(
@@ -75,7 +75,7 @@
         expected,
         repliesTo(
             PROVISION,
-            batch(1_100_000_000L, REQUEST_ARRIVES),
+            batch(1_100_000_000L, JOB_IN),
             batch(1_110_000_000L, "{\"Fired\":{\"handle\":\"sweep\"}}"),
             batch(
                 1_112_000_000L,
@@ -92,15 +92,13 @@
             batch(1_118_000_000L, "{\"Kill\":{}}")));
   }
 
-  /** The balancer goes on: a request that it cannot place is no malformed input. */
+  /** A request of an unknown class is not malformed input, so the session continues. */
   @Test
   void requestOfAnUnknownClassIsRejectedAndLogged() throws IOException {
     String replies =
         repliesTo(
             PROVISION,
-            batch(
-                1_100_000_000L,
-                REQUEST_ARRIVES.replace("\"service\":\"c\"", "\"service\":\"nope\"")));
+            batch(1_100_000_000L, JOB_IN.replace("\"service\":\"c\"", "\"service\":\"nope\"")));
     assertTrue(
         replies.contains(
             reply(
@@ -115,25 +113,26 @@
       value = {
         "nonsense | line 2: not JSON",
         "{\"clock-ns\":1} | line 2: field batch.groups: expected an array, got nothing",
-        "{\"clock-ns\":\"x\",\"groups\":[]} | line 2: field batch.clock-ns: expected a whole"
-            + " number, got \"x\"",
-        "{\"clock-ns\":1,\"groups\":[{\"balancer\":9,\"msgs\":[{\"Kill\":{}}]}]} | balancer 9 was"
-            + " never provisioned",
+        "{\"clock-ns\":\"x\",\"groups\":[]} | line 2: field batch.clock-ns: expected an"
+            + " integer, got \"x\"",
+        "{\"clock-ns\":1,\"groups\":[{\"balancer\":9,\"msgs\":[{\"Kill\":{}}]}]} | balancer 9 is"
+            + " not provisioned",
         "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"Odd\":{}}]}]} | msgs[0].Odd:"
-            + " unknown event",
+            + " unknown event type",
         "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"Fired\":{}}]}]} | Fired.handle:"
-            + " expected a text",
+            + " expected a string",
         "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"HealthResult\":{\"rc\":\"fine\"}}]}]}"
-            + " | expected a whole",
+            + " | expected an integer",
         "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"HealthResult\":{\"upstream\":1,\"rc\":\"fine\"}}]}]}"
             + " | rc: expected one of",
-        "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{}]}]} | msgs[0]: expected one"
-            + " event, got 0",
+        "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{}]}]} | msgs[0]: expected"
+            + " exactly one field, got 0",
         "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"Provision\":{\"seed\":1}}]}]}"
             + " | Provision.boot-info: expected an object, got nothing",
-        "{\"clock-ns\":1,\"groups\":[]} {} | expected one value a line"
+        "{\"clock-ns\":1,\"groups\":[]} {} | line 2: field batch: expected one JSON object, got"
+            + " more than one value"
       })
-  void malformedInputIsReportedWithLineAndField(String line, String message) {
+  void malformedInputIsReportedWithItsLineAndField(String line, String message) {
     WireFormatException malformed =
         assertThrows(WireFormatException.class, () -> repliesTo(PROVISION, line));
     assertTrue(malformed.getMessage().startsWith("line 2: "), malformed.getMessage());
@@ -141,7 +140,7 @@
   }
 
   @Test
-  void invalidSettingsAreReportedByName() {
+  void invalidSettingsAreReportedWithTheirName() {
     WireFormatException noClasses =
         assertThrows(
             WireFormatException.class, () -> repliesTo(PROVISION.replace(REQUEST_CLASS, "")));
