--- a/src/main/java/loadbalancer/policy/AdaptiveLoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/policy/AdaptiveLoadBalancingPolicy.java
@@ -14,64 +14,75 @@
 import loadbalancer.policy.settings.PolicySettings;
 
 /**
- * The coordinator of the policy: dispatches events to the parts that decide.
+ * The default policy: dispatches each event to the component that handles it.
  *
- * <p>The ordinary way of a request, kept by {@link RequestLifecycle}: {@link AdmissionController}
+ * <p>{@link RequestLifecycle} drives a request through its stages: {@link AdmissionController}
  * admits it, {@link BoundedLoadPlacement} chooses an endpoint, the attempt is forwarded, and {@link
- * AttemptRecorder} takes its latency into the statistics. Beside that: {@link RequestQueue} while
- * no endpoint has capacity, {@link RetrySafety} and {@link RetryBudget} for retries, {@link
- * HedgingPolicy} for hedged requests, {@link WatchBackoff} for the watch of the endpoint list.
+ * AttemptRecorder} records the attempt's latency. Other components handle the remaining cases:
+ * {@link RequestQueue} holds requests while no endpoint has capacity, {@link RetrySafety} and
+ * {@link RetryBudget} limit retries, {@link HedgingPolicy} decides on hedged requests, and {@link
+ * WatchBackoff} schedules restarts of the endpoint list watch.
  */
 public final class AdaptiveLoadBalancingPolicy implements LoadBalancingPolicy {
-  private static final long NANOS_PER_SECOND = 1_000_000_000L;
+  /** Limits how much one sweep after a long pause changes the moving averages. */
+  private static final long MAX_SWEEP_ELAPSED_NANOS = 1_000_000_000L;
 
   private final PolicySettings settings;
-  private final PolicyParts parts;
+  private final PolicyParts components;
   private final SweepTimer sweepTimer = new SweepTimer();
-  private final RequestLifecycle requests;
+  private final RequestLifecycle requestLifecycle;
   private final WatchBackoff watchBackoff;
   private long lastSweepNanos;
 
-  /** Makes the decisions of one balancer; the seed is its only source of randomness. */
+  /**
+   * Creates the policy of one balancer.
+   *
+   * @param seed seeds the policy's random number generator, its only source of randomness
+   */
   public AdaptiveLoadBalancingPolicy(PolicySettings settings, long seed) {
     this.settings = settings;
     SplittableRandom random = new SplittableRandom(seed);
     LatencyObjectives objectives = LatencyObjectives.of(settings.requestClasses());
-    parts = new PolicyParts(settings, objectives, random);
-    requests =
-        new RequestLifecycle(settings, parts, sweepTimer, objectives.shortestNanos(), random);
+    components = new PolicyParts(settings, objectives, random);
+    requestLifecycle =
+        new RequestLifecycle(settings, components, sweepTimer, objectives.shortestNanos(), random);
     watchBackoff = new WatchBackoff(settings, random);
   }
 
-  /** Health checks and messages of peers are not used, so their events are ignored. */
+  /**
+   * {@inheritDoc}
+   *
+   * <p>Ignores the results of health checks and messages from peers, since this policy requests no
+   * health checks and sends no peer messages.
+   */
   @Override
   public void handle(long nowNanos, Event event, Consumer<Action> actions) {
     if (event instanceof RequestArrived request) {
-      requests.requestArrived(request, nowNanos, actions);
+      requestLifecycle.requestArrived(request, nowNanos, actions);
     } else if (event instanceof AttemptCompleted completed) {
-      requests.attemptCompleted(completed, nowNanos, actions);
+      requestLifecycle.attemptCompleted(completed, nowNanos, actions);
     } else if (event instanceof TimerFired) {
       onTimerFired(nowNanos, actions);
     } else if (event instanceof EndpointListUpdate update) {
       onEndpointListUpdate(update, nowNanos, actions);
     } else if (event instanceof ClientDisconnected disconnected) {
-      requests.clientDisconnected(disconnected, actions);
+      requestLifecycle.clientDisconnected(disconnected, actions);
     } else if (event instanceof ResponseStarted started) {
-      requests.responseStarted(started);
+      requestLifecycle.responseStarted(started);
     }
   }
 
   private void onTimerFired(long nowNanos, Consumer<Action> actions) {
-    if (!sweepTimer.takeDue(nowNanos)) {
+    if (!sweepTimer.clearIfDue(nowNanos)) {
       return;
     }
-    double elapsedNanos = Math.min(NANOS_PER_SECOND, nowNanos - lastSweepNanos);
+    double elapsedNanos = Math.min(MAX_SWEEP_ELAPSED_NANOS, nowNanos - lastSweepNanos);
     lastSweepNanos = nowNanos;
-    parts.admission.updateHealthyLoad(elapsedNanos, nowNanos);
-    parts.slowStart.updateRecentRate(elapsedNanos, nowNanos);
-    parts.outlierDetector.updatePanic(nowNanos);
-    requests.sweep(nowNanos, actions);
-    if (watchBackoff.takeDueWatch(nowNanos)) {
+    components.admission.updateHealthyLoad(elapsedNanos, nowNanos);
+    components.slowStart.updateRecentRate(elapsedNanos, nowNanos);
+    components.outlierDetector.updatePanic(nowNanos);
+    requestLifecycle.sweep(nowNanos, actions);
+    if (watchBackoff.clearIfDue(nowNanos)) {
       actions.accept(new WatchEndpoints(true));
     }
     sweepTimer.schedule(watchBackoff.nextWatchNanos(), actions);
@@ -89,21 +100,21 @@
     } else if (settings.endpointListPolled()) {
       actions.accept(new WatchEndpoints(true));
     }
-    parts.registry.apply(update, nowNanos);
+    components.registry.apply(update, nowNanos);
   }
 
-  /** How many requests are pending: without a final answer or with an attempt in flight. */
+  /** Returns the number of requests without a final response or with an attempt in flight. */
   int pendingRequests() {
-    return requests.pendingRequests();
+    return requestLifecycle.pendingRequests();
   }
 
-  /** How many requests wait for an endpoint with capacity. */
+  /** Returns the number of requests that wait for an endpoint with capacity. */
   int queuedRequests() {
-    return requests.queuedRequests();
+    return requestLifecycle.queuedRequests();
   }
 
-  /** How many sliding windows are tracked by name. */
+  /** Returns the number of sliding windows that are tracked by name. */
   int trackedWindows() {
-    return parts.traffic.trackedWindows();
+    return components.traffic.trackedWindows();
   }
 }
--- a/src/main/java/loadbalancer/policy/Attempt.java
+++ b/src/main/java/loadbalancer/policy/Attempt.java
@@ -2,22 +2,25 @@
 
 /** One attempt of a request: its first, a retry or a hedged request. */
 final class Attempt {
-  /** Where the attempt was forwarded to. */
+  /** The endpoint that the attempt was forwarded to. */
   final Endpoint endpoint;
 
-  /** When it was forwarded. */
+  /** When the attempt was forwarded. */
   final long forwardedAtNanos;
 
-  /** The in-flight time that was charged in advance, settled when the attempt completes. */
+  /**
+   * The expected time in flight, which {@link InFlightTime} adds when the attempt starts and
+   * corrects when it completes.
+   */
   final double chargedNanos;
 
-  /** Whether its completion is still to come. */
+  /** Whether the attempt has not completed yet. */
   boolean isInFlight = true;
 
   /** Whether the endpoint may have run the request; true until a completion proves otherwise. */
   boolean mayHaveRun = true;
 
-  /** An attempt that is in flight from now on. */
+  /** Creates an attempt that is in flight. */
   Attempt(Endpoint endpoint, long forwardedAtNanos, double chargedNanos) {
     this.endpoint = endpoint;
     this.forwardedAtNanos = forwardedAtNanos;
--- a/src/main/java/loadbalancer/policy/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/policy/HedgingPolicy.java
@@ -3,11 +3,12 @@
 import loadbalancer.policy.settings.Limits;
 
 /**
- * Hedged requests, after Dean and Barroso, "The Tail at Scale": a second attempt beside one whose
- * endpoint has become unresponsive, where the deployment allows two at a time. A token bucket keeps
- * them few, and hedges that win the race allow further ones.
+ * Decides on hedged requests, as described by Dean and Barroso in "The Tail at Scale": a second
+ * attempt for a request whose endpoint has become unresponsive. The deployment must allow two
+ * attempts in flight and their cancellation. A token bucket limits the number of hedges; a hedge
+ * that is served first adds tokens for further ones.
  *
- * <p>None is sent while the fleet is overloaded: hedging would add to the overload.
+ * <p>No hedge is sent while the fleet is overloaded, since it would add to the overload.
  */
 final class HedgingPolicy {
   private static final double TOKENS_PER_ADMITTED_REQUEST = 0.01;
@@ -19,19 +20,19 @@
   private final TrafficStatistics traffic;
   private double tokens = MAX_TOKENS;
 
-  /** A policy with a full bucket. */
+  /** Creates a hedging policy with a full token bucket. */
   HedgingPolicy(Limits limits, OutlierDetector outlierDetector, TrafficStatistics traffic) {
     this.limits = limits;
     this.outlierDetector = outlierDetector;
     this.traffic = traffic;
   }
 
-  /** Adds the tokens of an admitted request. */
+  /** Adds the tokens for an admitted request. */
   void requestAdmitted() {
     addTokens(TOKENS_PER_ADMITTED_REQUEST);
   }
 
-  /** Adds the tokens of a hedged attempt that was served before the first one. */
+  /** Adds the tokens for a hedge that was served before the request's other attempt. */
   void hedgeWon() {
     addTokens(TOKENS_PER_WON_HEDGE);
   }
@@ -40,7 +41,7 @@
     tokens = Math.min(MAX_TOKENS, tokens + amount);
   }
 
-  /** Whether the request may get a second attempt in flight now. */
+  /** Returns whether the request has one attempt in flight and may get a second one now. */
   boolean mayHedge(PendingRequest pending, long nowNanos) {
     return pending.inFlight == 1
         && limits.hedging()
@@ -48,17 +49,18 @@
         && pending.attempts.size() < limits.maxAttempts()
         && tokens >= 1
         && outlierDetector.isUnresponsive(pending.lastAttempt().endpoint, nowNanos)
-        && nowNanos < lastUsefulNanos(pending)
+        && nowNanos < hedgeDeadlineNanos(pending)
         && traffic.isFleetHealthy(nowNanos);
   }
 
-  private static long lastUsefulNanos(PendingRequest pending) {
+  /** Returns when a hedge is no longer useful. */
+  private static long hedgeDeadlineNanos(PendingRequest pending) {
     return Math.min(
         pending.request.deadlineNanos(),
         pending.arrivedAtNanos + pending.requestClass.latencyObjectiveNanos());
   }
 
-  /** Takes the token of a hedged attempt that is forwarded. */
+  /** Takes the token for a hedge that is being forwarded. */
   void takeToken() {
     tokens--;
   }
--- a/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
@@ -7,26 +7,33 @@
 import loadbalancer.policy.action.SetTimer;
 import loadbalancer.policy.event.AttemptCompleted;
 import loadbalancer.policy.event.Event;
+import loadbalancer.policy.event.HealthCheckCompleted;
 import loadbalancer.policy.event.TimerFired;
 
 /**
- * The decisions of one balancer: which requests are admitted, where they are forwarded, when they
- * are retried, rejected or failed, and how the endpoint list is followed.
+ * Makes the decisions of one balancer: which requests are admitted, where they are forwarded, when
+ * they are retried, rejected or failed, and when the endpoint list is watched.
  *
- * <p>An instance is single-threaded: call {@link #handle} from one thread at a time, with events in
- * the order in which they happened. Times and durations are nanoseconds; a clock reading has no
- * particular origin and never goes back. A policy reads no clock, no environment and no source of
- * randomness but its seed, so the same calls give the same actions.
+ * <p>Instances are not thread-safe: call {@link #handle} from one thread at a time and pass events
+ * in the order in which they occurred. Times and durations are in nanoseconds. Clock readings have
+ * no particular origin and never decrease. A policy is deterministic: it reads no clock and no
+ * environment and uses no randomness other than its seed, so the same sequence of calls produces
+ * the same actions.
  *
- * <p>Actions are to be carried out in the order in which they are handed over, at the clock reading
- * of their event. Every {@link ForwardAttempt} is owed exactly one {@link AttemptCompleted}, every
- * {@link SetTimer} one {@link TimerFired}, every {@link CheckHealth} one {@link
- * HealthCheckCompleted}. An exception out of {@link #handle} is a defect: drop the instance.
+ * <p>The caller carries out the actions in the order in which it receives them, at the clock
+ * reading of their event. It must report exactly one {@link AttemptCompleted} for every {@link
+ * ForwardAttempt}, one {@link TimerFired} for every {@link SetTimer} and one {@link
+ * HealthCheckCompleted} for every {@link CheckHealth}. An exception thrown by {@link #handle} is a
+ * bug in the policy; the instance must not be used any further.
  */
 public interface LoadBalancingPolicy {
 
   /**
-   * Handles one event at clock reading {@code nowNanos}; actions go to {@code actions} in order.
+   * Handles one event.
+   *
+   * @param nowNanos the clock reading at which the event is handled
+   * @param event the event
+   * @param actions receives the resulting actions, in the order in which to carry them out
    */
   void handle(long nowNanos, Event event, Consumer<Action> actions);
 }
--- a/src/main/java/loadbalancer/policy/PendingRequest.java
+++ b/src/main/java/loadbalancer/policy/PendingRequest.java
@@ -6,38 +6,38 @@
 import loadbalancer.policy.settings.RequestClass;
 
 /**
- * A request between its arrival and the completion of its last attempt, which may be later than its
- * final answer. {@link RequestLifecycle} is the only writer.
+ * A request that lacks its final response or still has an attempt in flight. Only {@link
+ * RequestLifecycle} modifies it.
  */
 final class PendingRequest {
   /** The request as it arrived. */
   final RequestArrived request;
 
-  /** The settings of its class. */
+  /** The settings of the request's class. */
   final RequestClass requestClass;
 
-  /** When it arrived. */
+  /** When the request arrived. */
   final long arrivedAtNanos;
 
-  /** Its estimated load, in average requests. */
+  /** The estimated load, as a multiple of the average request. */
   final double load;
 
-  /** The sliding windows that count it. */
+  /** The sliding windows that count the request. */
   final TrafficWindows windows;
 
-  /** Its attempts in forwarding order. */
+  /** The attempts in forwarding order. */
   final List<Attempt> attempts = new ArrayList<>(1);
 
-  /** How many of its attempts are in flight. */
+  /** The number of attempts in flight. */
   int inFlight;
 
-  /** Whether it has its final answer, or needs none since the client disconnected. */
-  boolean isFinal;
+  /** Whether the final response was sent or the client disconnected. */
+  boolean isCompleted;
 
-  /** Whether a streamed response has started: the request has no deadline any more. */
+  /** Whether a streamed response has started, after which the deadline no longer applies. */
   boolean isStreaming;
 
-  /** A request that was not forwarded yet. */
+  /** Creates a request without attempts. */
   PendingRequest(
       RequestArrived request,
       RequestClass requestClass,
@@ -51,22 +51,22 @@
     this.windows = windows;
   }
 
-  /** Whether the request is over its tenant's quota. */
+  /** Returns whether the request is over its tenant's quota. */
   boolean isOverQuota() {
     return windows.isOverQuota();
   }
 
-  /** Whether there is an attempt of this index, and its completion is still to come. */
+  /** Returns whether an attempt with this index exists and has not completed. */
   boolean isInFlight(int attemptIndex) {
     return attemptIndex < attempts.size() && attempts.get(attemptIndex).isInFlight;
   }
 
-  /** The attempt that was forwarded last; there is at least one. */
+  /** Returns the most recent attempt; the request must have at least one. */
   Attempt lastAttempt() {
     return attempts.get(attempts.size() - 1);
   }
 
-  /** Whether an endpoint may have run the request. */
+  /** Returns whether any endpoint may have run the request. */
   boolean mayHaveRun() {
     for (Attempt attempt : attempts) {
       if (attempt.mayHaveRun) {
--- a/src/main/java/loadbalancer/policy/PolicyParts.java
+++ b/src/main/java/loadbalancer/policy/PolicyParts.java
@@ -3,53 +3,51 @@
 import java.util.SplittableRandom;
 import loadbalancer.policy.settings.PolicySettings;
 
-/**
- * The parts that a policy is put together of, each with its own state; made once for each balancer.
- */
+/** Creates and connects the components of one policy. Each component holds its own state. */
 final class PolicyParts {
   /** Counts traffic in sliding windows. */
   final TrafficStatistics traffic;
 
-  /** Tells requests inside their tenant's quota from those over it. */
+  /** Classifies requests as within or over their tenant's quota. */
   final TenantQuotas quotas;
 
-  /** Estimates a request's load from its hint. */
+  /** Estimates a request's load from its work hint. */
   final LoadEstimator loadEstimator = new LoadEstimator();
 
-  /** Admits arriving requests. */
+  /** Decides which arriving requests are admitted. */
   final AdmissionController admission;
 
-  /** Holds the endpoints of the list. */
+  /** Holds the endpoints of the endpoint list. */
   final EndpointRegistry registry;
 
-  /** Keeps the time that attempts are in flight. */
+  /** Tracks the time that attempts are in flight. */
   final InFlightTime inFlightTime;
 
-  /** Ejects endpoints that fail or do not respond. */
+  /** Ejects endpoints that fail and detects unresponsive ones. */
   final OutlierDetector outlierDetector;
 
-  /** Bounds what endpoints get while they warm up. */
+  /** Limits the traffic to endpoints that are warming up. */
   final SlowStart slowStart;
 
-  /** Keeps requests from having an effect twice. */
+  /** Prevents retries that could make a request take effect twice. */
   final RetrySafety retrySafety;
 
-  /** Bounds the retries. */
+  /** Limits retries to a fraction of the admitted requests. */
   final RetryBudget retryBudget;
 
-  /** Decides on hedged requests. */
+  /** Decides when a request is hedged. */
   final HedgingPolicy hedging;
 
-  /** Chooses the endpoint of an attempt. */
+  /** Chooses the endpoint for each attempt. */
   final BoundedLoadPlacement placement;
 
-  /** Feeds the statistics with completed attempts. */
+  /** Records completed attempts in the statistics and in outlier detection. */
   final AttemptRecorder recorder;
 
   /**
-   * The parts of a policy with these settings.
+   * Creates the components of a policy with the given settings.
    *
-   * @param random the policy's one source of randomness, shared by the parts
+   * @param random the policy's only source of randomness, shared by the components
    */
   PolicyParts(PolicySettings settings, LatencyObjectives objectives, SplittableRandom random) {
     long windowNanos = objectives.statisticsWindowNanos();
--- a/src/main/java/loadbalancer/policy/RequestLifecycle.java
+++ b/src/main/java/loadbalancer/policy/RequestLifecycle.java
@@ -20,25 +20,24 @@
 import loadbalancer.policy.settings.RequestClass;
 
 /**
- * The requests from their arrival to their one final answer: asks the parts of the policy whether
- * to admit, where to forward, whether to retry, hedge, let wait or give up, and keeps what is
- * pending. Called by {@link AdaptiveLoadBalancingPolicy} for each event of a request and for each
- * sweep.
+ * Tracks requests from arrival to their only final response: uses the other components of the
+ * policy to admit, forward, queue, retry, hedge, reject and fail them. {@link
+ * AdaptiveLoadBalancingPolicy} calls it for every event of a request and for every sweep.
  */
 final class RequestLifecycle {
-  /** Bounds the work of one completed attempt while no endpoint has capacity. */
-  private static final int MAX_FUTILE_PLACEMENTS = 4;
+  /** Limits the work after each completed attempt while no endpoint has capacity. */
+  private static final int MAX_FAILED_PLACEMENTS = 4;
 
-  /** With less time left, a request is not forwarded any more. */
-  private static final long MIN_FORWARDING_TIME_NANOS = 20_000_000L;
+  /** A request whose deadline is closer than this is no longer forwarded. */
+  private static final long MIN_TIME_TO_DEADLINE_NANOS = 20_000_000L;
 
-  /** Sweeps while attempts are in flight, in the shortest latency objective. */
+  /** The number of sweeps per shortest latency objective while attempts are in flight. */
   private static final int SWEEPS_PER_OBJECTIVE = 8;
 
   private static final long MIN_SWEEP_DELAY_NANOS = 1_000_000L;
 
   private final PolicySettings settings;
-  private final PolicyParts parts;
+  private final PolicyParts components;
   private final SweepTimer sweepTimer;
   private final SplittableRandom random;
   private final long inFlightSweepPeriodNanos;
@@ -46,15 +45,21 @@
   private final Map<String, PendingRequest> pendingRequests = new LinkedHashMap<>();
   private final RequestQueue queue;
 
-  /** Without requests; asks {@code sweepTimer} for the sweeps that pending requests need. */
+  /**
+   * Creates a lifecycle without requests.
+   *
+   * @param sweepTimer schedules the sweeps that pending requests need
+   * @param shortestObjectiveNanos the shortest latency objective of all request classes
+   * @param random the policy's source of randomness
+   */
   RequestLifecycle(
       PolicySettings settings,
-      PolicyParts parts,
+      PolicyParts components,
       SweepTimer sweepTimer,
       long shortestObjectiveNanos,
       SplittableRandom random) {
     this.settings = settings;
-    this.parts = parts;
+    this.components = components;
     this.sweepTimer = sweepTimer;
     this.random = random;
     for (RequestClass requestClass : settings.requestClasses()) {
@@ -65,7 +70,7 @@
     queue = new RequestQueue(settings.overQuotaWeight());
   }
 
-  /** Admits and forwards a request, or rejects it. */
+  /** Handles a new request: admits and forwards it, queues it or rejects it. */
   void requestArrived(RequestArrived request, long nowNanos, Consumer<Action> actions) {
     RequestClass requestClass = requestClasses.get(request.className());
     if (requestClass == null) {
@@ -75,30 +80,30 @@
       reject(request, actions);
       return;
     }
-    boolean isOverQuota = !parts.quotas.tryAcquire(request.tenant(), nowNanos);
-    TrafficWindows windows = parts.traffic.windowsOf(request, isOverQuota, nowNanos);
-    double load = parts.loadEstimator.loadOf(request.workHintNanos());
+    boolean isOverQuota = !components.quotas.tryAcquire(request.tenant(), nowNanos);
+    TrafficWindows windows = components.traffic.windowsOf(request, isOverQuota, nowNanos);
+    double load = components.loadEstimator.loadOf(request.workHintNanos());
     PendingRequest pending = new PendingRequest(request, requestClass, nowNanos, load, windows);
     if (pendingRequests.size() >= settings.limits().maxOpenRequests()
-        || !parts.admission.admit(pending, nowNanos, actions)) {
+        || !components.admission.admit(pending, nowNanos, actions)) {
       reject(request, actions);
       return;
     }
     pendingRequests.put(request.requestId(), pending);
-    parts.retryBudget.requestAdmitted(nowNanos);
-    parts.hedging.requestAdmitted();
-    advance(pending, nowNanos, actions);
+    components.retryBudget.requestAdmitted(nowNanos);
+    components.hedging.requestAdmitted();
+    forwardOrQueue(pending, nowNanos, actions);
   }
 
-  /** Cancels the attempts of a request whose client left; no answer is owed any more. */
+  /** Completes a request whose client disconnected; it needs no final response. */
   void clientDisconnected(ClientDisconnected disconnected, Consumer<Action> actions) {
     PendingRequest pending = pendingRequests.get(disconnected.requestId());
-    if (pending != null && !pending.isFinal) {
+    if (pending != null && !pending.isCompleted) {
       complete(pending, actions);
     }
   }
 
-  /** Notes that a streamed response has started: the request has no deadline any more. */
+  /** Marks a request as streaming, which lifts its deadline. */
   void responseStarted(ResponseStarted started) {
     PendingRequest pending = pendingRequests.get(started.requestId());
     if (pending != null) {
@@ -110,16 +115,16 @@
     actions.accept(new RejectRequest(request.requestId(), retryAfterNanos()));
   }
 
-  /** Random, so that rejected clients do not return together. */
+  /** Returns a random delay, so that rejected clients do not all retry at the same time. */
   private long retryAfterNanos() {
     return settings.limits().retryAfter()
         ? random.nextLong(settings.limits().maxRetryAfterNanos() + 1)
         : 0;
   }
 
-  /** Answers a request that will not be served. */
-  private void giveUp(PendingRequest pending, Consumer<Action> actions) {
-    if (parts.retrySafety.mayReject(pending)) {
+  /** Completes a request that will not be served. Rejects it if the client may safely retry. */
+  private void rejectOrFail(PendingRequest pending, Consumer<Action> actions) {
+    if (components.retrySafety.mayReject(pending)) {
       reject(pending.request, actions);
     } else {
       actions.accept(new FailRequest(pending.request.requestId()));
@@ -127,10 +132,13 @@
     complete(pending, actions);
   }
 
-  /** Cancels what is in flight for a request with its final answer; forgets it once nothing is. */
+  /**
+   * Completes a request and cancels its attempts in flight, where the deployment allows it. The
+   * request stays pending until those attempts have completed.
+   */
   private void complete(PendingRequest pending, Consumer<Action> actions) {
     String requestId = pending.request.requestId();
-    pending.isFinal = true;
+    pending.isCompleted = true;
     queue.remove(pending);
     if (pending.inFlight == 0) {
       pendingRequests.remove(requestId);
@@ -145,27 +153,27 @@
   }
 
   /**
-   * Forwards a request that has no attempt in flight, gives it up, or lets it wait.
+   * Forwards a request that has no attempt in flight, queues it, or rejects or fails it.
    *
-   * @return false if the request waits
+   * @return false if the request was queued or stays queued
    */
-  private boolean advance(PendingRequest pending, long nowNanos, Consumer<Action> actions) {
+  private boolean forwardOrQueue(PendingRequest pending, long nowNanos, Consumer<Action> actions) {
     boolean isRetry = !pending.attempts.isEmpty();
     if (!mayForward(pending, isRetry, nowNanos)) {
-      giveUp(pending, actions);
+      rejectOrFail(pending, actions);
       return true;
     }
-    Endpoint endpoint = parts.placement.place(pending, nowNanos);
+    Endpoint endpoint = components.placement.place(pending, nowNanos);
     if (endpoint != null) {
       if (isRetry) {
-        parts.retryBudget.takeToken();
+        components.retryBudget.takeToken();
       }
       queue.remove(pending);
       forward(pending, endpoint, nowNanos, actions);
       return true;
     }
-    if (!mayWait(pending, isRetry, nowNanos)) {
-      giveUp(pending, actions);
+    if (!mayQueue(pending, isRetry, nowNanos)) {
+      rejectOrFail(pending, actions);
       return true;
     }
     queue.add(pending);
@@ -175,31 +183,34 @@
 
   private boolean mayForward(PendingRequest pending, boolean isRetry, long nowNanos) {
     return pending.attempts.size() < settings.limits().maxAttempts()
-        && (!isRetry || parts.retryBudget.hasToken())
-        && parts.retrySafety.mayForward(pending)
-        && nowNanos < pending.request.deadlineNanos() - MIN_FORWARDING_TIME_NANOS;
+        && (!isRetry || components.retryBudget.hasToken())
+        && components.retrySafety.mayForward(pending)
+        && nowNanos < pending.request.deadlineNanos() - MIN_TIME_TO_DEADLINE_NANOS;
   }
 
-  private boolean mayWait(PendingRequest pending, boolean isRetry, long nowNanos) {
+  private boolean mayQueue(PendingRequest pending, boolean isRetry, long nowNanos) {
     return isRetry
-        ? parts.registry.readyCount() > 0
-        : RequestQueue.mayAwaitFirstAttempt(pending, nowNanos);
+        ? components.registry.readyCount() > 0
+        : RequestQueue.isWithinMaxQueueTime(pending, nowNanos);
   }
 
   private void forward(
       PendingRequest pending, Endpoint endpoint, long nowNanos, Consumer<Action> actions) {
-    double chargedNanos = parts.inFlightTime.charge(endpoint, pending.load, nowNanos);
+    double chargedNanos = components.inFlightTime.charge(endpoint, pending.load, nowNanos);
     pending.attempts.add(new Attempt(endpoint, nowNanos, chargedNanos));
     pending.inFlight++;
-    parts.outlierDetector.beforeAttempt(endpoint, nowNanos);
-    parts.registry.attemptStarted(endpoint, pending.load);
-    parts.slowStart.attemptStarted(endpoint, pending.load, nowNanos);
+    components.outlierDetector.beforeAttempt(endpoint, nowNanos);
+    components.registry.attemptStarted(endpoint, pending.load);
+    components.slowStart.attemptStarted(endpoint, pending.load, nowNanos);
     long timeoutNanos = pending.request.deadlineNanos() - nowNanos;
     actions.accept(new ForwardAttempt(pending.request.requestId(), endpoint.id, timeoutNanos));
     scheduleInFlightSweep(pending, nowNanos, actions);
   }
 
-  /** Records a completed attempt, then retries, completes or gives up its request. */
+  /**
+   * Records a completed attempt and completes, retries, rejects or fails its request. Then tries to
+   * forward queued requests.
+   */
   void attemptCompleted(AttemptCompleted completed, long nowNanos, Consumer<Action> actions) {
     PendingRequest pending = pendingRequests.get(completed.requestId());
     if (pending == null || !pending.isInFlight(completed.attempt())) {
@@ -209,87 +220,90 @@
     attempt.isInFlight = false;
     attempt.mayHaveRun = !completed.status().provesNotRun();
     pending.inFlight--;
-    parts.registry.attemptCompleted(attempt.endpoint, pending.load);
-    parts.outlierDetector.attemptCompleted(attempt.endpoint, nowNanos);
-    parts.inFlightTime.settle(attempt, pending.requestClass, completed, nowNanos);
-    parts.recorder.record(pending, attempt, completed, nowNanos);
-    continueAfter(completed, pending, nowNanos, actions);
+    components.registry.attemptCompleted(attempt.endpoint, pending.load);
+    components.outlierDetector.attemptCompleted(attempt.endpoint, nowNanos);
+    components.inFlightTime.settle(attempt, pending.requestClass, completed, nowNanos);
+    components.recorder.record(pending, attempt, completed, nowNanos);
+    completeOrRetry(completed, pending, nowNanos, actions);
     forwardQueued(nowNanos, actions);
   }
 
-  private void continueAfter(
+  private void completeOrRetry(
       AttemptCompleted completed, PendingRequest pending, long nowNanos, Consumer<Action> actions) {
-    if (pending.isFinal) {
+    if (pending.isCompleted) {
       if (pending.inFlight == 0) {
         pendingRequests.remove(completed.requestId());
       }
     } else if (completed.requestFinished()) {
       if (pending.inFlight > 0 && completed.attempt() > 0) {
-        parts.hedging.hedgeWon();
+        components.hedging.hedgeWon();
       }
       complete(pending, actions);
     } else if (pending.inFlight == 0) {
-      advance(pending, nowNanos, actions);
+      forwardOrQueue(pending, nowNanos, actions);
     }
   }
 
-  /** Tries to forward waiting requests, as a completed attempt may have made room for one. */
+  /** Tries to forward queued requests, since a completed attempt frees capacity. */
   private void forwardQueued(long nowNanos, Consumer<Action> actions) {
-    int futilePlacements = 0;
+    int failedPlacements = 0;
     PendingRequest queued = queue.first();
-    while (queued != null && futilePlacements < MAX_FUTILE_PLACEMENTS) {
-      if (!advance(queued, nowNanos, actions)) {
-        futilePlacements++;
+    while (queued != null && failedPlacements < MAX_FAILED_PLACEMENTS) {
+      if (!forwardOrQueue(queued, nowNanos, actions)) {
+        failedPlacements++;
       }
       queued = queue.after(queued);
     }
   }
 
-  /** In time to see that an endpoint became unresponsive, and for the request's deadline. */
+  /** Schedules a sweep that detects an unresponsive endpoint or an expired request in time. */
   private void scheduleInFlightSweep(
       PendingRequest pending, long nowNanos, Consumer<Action> actions) {
-    long nextNanos = Math.min(giveUpNanos(pending), nowNanos + inFlightSweepPeriodNanos);
+    long nextNanos = Math.min(expiryNanos(pending), nowNanos + inFlightSweepPeriodNanos);
     sweepTimer.schedule(Math.max(nowNanos + MIN_SWEEP_DELAY_NANOS, nextNanos), actions);
   }
 
-  /** When a request with an attempt in flight is given up: within the slack after its deadline. */
-  private long giveUpNanos(PendingRequest pending) {
+  /**
+   * Returns when a request with an attempt in flight is rejected or failed: after its deadline, but
+   * early enough for a final response within the response slack.
+   */
+  private long expiryNanos(PendingRequest pending) {
     return pending.request.deadlineNanos() + settings.serviceRules().responseSlackNanos() / 2;
   }
 
   private void sweepInFlight(PendingRequest pending, long nowNanos, Consumer<Action> actions) {
-    if (nowNanos >= giveUpNanos(pending)) {
-      giveUp(pending, actions);
+    if (nowNanos >= expiryNanos(pending)) {
+      rejectOrFail(pending, actions);
       return;
     }
-    if (parts.hedging.mayHedge(pending, nowNanos)) {
-      Endpoint endpoint = parts.placement.place(pending, nowNanos);
+    if (components.hedging.mayHedge(pending, nowNanos)) {
+      Endpoint endpoint = components.placement.place(pending, nowNanos);
       if (endpoint != null) {
-        parts.hedging.takeToken();
+        components.hedging.takeToken();
         forward(pending, endpoint, nowNanos, actions);
       }
     }
     scheduleInFlightSweep(pending, nowNanos, actions);
   }
 
-  /** Gives up overdue requests, hedges, and tries to forward the waiting ones. */
+  /** Rejects or fails expired requests, hedges requests and tries to forward queued requests. */
   void sweep(long nowNanos, Consumer<Action> actions) {
     for (PendingRequest pending : List.copyOf(pendingRequests.values())) {
-      if (pending.inFlight > 0 && !pending.isFinal && !pending.isStreaming) {
+      if (pending.inFlight > 0 && !pending.isCompleted && !pending.isStreaming) {
         sweepInFlight(pending, nowNanos, actions);
       }
     }
     for (PendingRequest queued : queue.snapshot()) {
-      advance(queued, nowNanos, actions);
+      forwardOrQueue(queued, nowNanos, actions);
     }
   }
 
-  /** How many requests are pending: without a final answer or with an attempt in flight. */
+  /** Returns the number of requests without a final response or with an attempt in flight. */
   int pendingRequests() {
     return pendingRequests.size();
   }
 
-  /** How many requests wait for an endpoint with capacity. */
+  /** Returns the number of requests that wait for an endpoint with capacity. */
   int queuedRequests() {
     return queue.size();
   }
--- a/src/main/java/loadbalancer/policy/RequestQueue.java
+++ b/src/main/java/loadbalancer/policy/RequestQueue.java
@@ -5,11 +5,14 @@
 import java.util.TreeSet;
 
 /**
- * The requests that wait for an endpoint with capacity: those of the highest priority weight first,
- * the oldest first among these. {@link RequestLifecycle} adds and removes them.
+ * The requests that wait for an endpoint with capacity, ordered by descending priority weight and
+ * then by arrival. {@link RequestLifecycle} adds and removes them.
  */
 final class RequestQueue {
-  /** How long a request waits for its first attempt; a rejection then is still early. */
+  /**
+   * How long a request may wait for its first attempt, as a fraction of its latency objective. A
+   * rejection after this time still reaches the client early.
+   */
   private static final double MAX_QUEUE_TIME_IN_OBJECTIVES = 0.3;
 
   private final double overQuotaWeight;
@@ -20,9 +23,9 @@
               .thenComparing(pending -> pending.request.requestId()));
 
   /**
-   * An empty queue.
+   * Creates an empty queue.
    *
-   * @param overQuotaWeight the fraction of its priority weight that a request over quota keeps
+   * @param overQuotaWeight the factor for the priority weight of requests over quota
    */
   RequestQueue(double overQuotaWeight) {
     this.overQuotaWeight = overQuotaWeight;
@@ -32,39 +35,42 @@
     return pending.requestClass.priorityWeight() * (pending.isOverQuota() ? overQuotaWeight : 1);
   }
 
-  /** Whether a request that was never forwarded may go on waiting. */
-  static boolean mayAwaitFirstAttempt(PendingRequest pending, long nowNanos) {
+  /** Returns whether a request without attempts may wait any longer. */
+  static boolean isWithinMaxQueueTime(PendingRequest pending, long nowNanos) {
     double maxQueueNanos =
         MAX_QUEUE_TIME_IN_OBJECTIVES * pending.requestClass.latencyObjectiveNanos();
     return nowNanos < pending.arrivedAtNanos + maxQueueNanos;
   }
 
-  /** Adds a request; does nothing if it waits already. */
+  /** Adds a request; has no effect if it is already queued. */
   void add(PendingRequest pending) {
     requests.add(pending);
   }
 
-  /** Removes a request; does nothing if it does not wait. */
+  /** Removes a request; has no effect if it is not queued. */
   void remove(PendingRequest pending) {
     requests.remove(pending);
   }
 
-  /** The request that is first in order, or null if none waits. */
+  /** Returns the first request in order, or null if the queue is empty. */
   PendingRequest first() {
     return requests.isEmpty() ? null : requests.first();
   }
 
-  /** The waiting request that follows the given one, which may have been removed; or null. */
+  /**
+   * Returns the queued request that follows the given one in order, or null if there is none. The
+   * given request need not be queued any more.
+   */
   PendingRequest after(PendingRequest pending) {
     return requests.higher(pending);
   }
 
-  /** How many requests wait. */
+  /** Returns the number of queued requests. */
   int size() {
     return requests.size();
   }
 
-  /** All waiting requests in order, as a copy. */
+  /** Returns a copy of the queue in order. */
   List<PendingRequest> snapshot() {
     return List.copyOf(requests);
   }
--- a/src/main/java/loadbalancer/policy/RetryBudget.java
+++ b/src/main/java/loadbalancer/policy/RetryBudget.java
@@ -3,8 +3,8 @@
 import loadbalancer.policy.SlidingWindow.Metric;
 
 /**
- * The retry budget, as in Finagle: retries may add only a fraction to the admitted requests, so
- * that failures do not multiply the load that caused them. {@link RequestLifecycle} asks it before
+ * A retry budget as in Finagle: limits retries to a fraction of the admitted requests, so that
+ * failures do not multiply the load that caused them. {@link RequestLifecycle} checks it before
  * each retry.
  */
 final class RetryBudget {
@@ -13,14 +13,15 @@
   private final TrafficStatistics traffic;
   private double tokens = 1;
 
-  /** A budget for one retry, which grows with the traffic. */
+  /** Creates a budget that initially allows one retry and grows with the traffic. */
   RetryBudget(TrafficStatistics traffic) {
     this.traffic = traffic;
   }
 
   /**
-   * Adds the tokens of an admitted request. The budget holds no more than one window's requests
-   * bring: a fixed size, at each of hundreds of balancers, could be an overload by itself.
+   * Adds the tokens for an admitted request. The budget holds at most the tokens of the requests
+   * offered in one window. A fixed size could overload the service by itself, since each of
+   * hundreds of balancers has its own budget.
    */
   void requestAdmitted(long nowNanos) {
     double maxTokens =
@@ -28,12 +29,12 @@
     tokens = Math.min(maxTokens, tokens + TOKENS_PER_ADMITTED_REQUEST);
   }
 
-  /** Whether a retry may be forwarded. */
+  /** Returns whether a retry may be forwarded. */
   boolean hasToken() {
     return tokens >= 1;
   }
 
-  /** Takes the token of a retry that is forwarded. */
+  /** Takes the token for a retry that is being forwarded. */
   void takeToken() {
     tokens--;
   }
--- a/src/main/java/loadbalancer/policy/RetrySafety.java
+++ b/src/main/java/loadbalancer/policy/RetrySafety.java
@@ -7,25 +7,29 @@
 import loadbalancer.policy.settings.RequestEffect;
 
 /**
- * Keeps requests from having an effect twice. A request that is not idempotent is not forwarded
- * again once it may have run; one with an idempotency key is, within its deduplication window and
- * to endpoints that share what they have seen. A rejection invites the client to retry, so it is
- * given only where a retry is as safe.
+ * Prevents retries that could make a request take effect twice. A request that is not idempotent is
+ * not forwarded again once an endpoint may have run it. A request with an idempotency key is
+ * forwarded again only within its deduplication window and to endpoints in the same deduplication
+ * scope. A rejection invites the client to retry, so it is sent only where that retry is safe too.
  */
 final class RetrySafety {
   private final long clockResolutionNanos;
 
-  /** Rules for a balancer whose clock has the given resolution. */
+  /**
+   * Creates the rules.
+   *
+   * @param clockResolutionNanos the resolution of the balancer's clock
+   */
   RetrySafety(long clockResolutionNanos) {
     this.clockResolutionNanos = clockResolutionNanos;
   }
 
-  /** Whether the request may be forwarded to any endpoint. */
+  /** Returns whether the request may be forwarded at all, regardless of the endpoint. */
   boolean mayForward(PendingRequest pending) {
     return pending.requestClass.effect() != RequestEffect.NOT_IDEMPOTENT || !pending.mayHaveRun();
   }
 
-  /** Whether the request may be forwarded to the endpoint, beside the attempts that it had. */
+  /** Returns whether the request may be forwarded to the endpoint, given its earlier attempts. */
   boolean mayForwardTo(PendingRequest pending, Endpoint endpoint, long nowNanos) {
     RequestClass requestClass = pending.requestClass;
     if (requestClass.effect() == RequestEffect.IDEMPOTENT) {
@@ -34,34 +38,35 @@
     List<Attempt> attempts = pending.attempts;
     for (int i = 0; i < attempts.size(); i++) {
       Attempt attempt = attempts.get(i);
-      if (attempt.mayHaveRun && !dropsRepeat(requestClass, attempt, endpoint, nowNanos)) {
+      if (attempt.mayHaveRun && !dropsDuplicate(requestClass, attempt, endpoint, nowNanos)) {
         return false;
       }
     }
     return true;
   }
 
-  /** Whether the endpoint would drop the request if the attempt ran. */
-  private boolean dropsRepeat(
+  /** Returns whether the endpoint drops the request as a duplicate if the attempt has run. */
+  private boolean dropsDuplicate(
       RequestClass requestClass, Attempt attempt, Endpoint endpoint, long nowNanos) {
-    // A balancer may carry the forwarding out a moment later, so the window ends a tick earlier.
+    // The balancer may forward slightly after this clock reading, so the window is shortened by
+    // one tick of its clock.
     return requestClass.effect() == RequestEffect.IDEMPOTENT_WITH_KEY
-        && isShared(
+        && isInScope(
             requestClass.deduplicationScope(), attempt.endpoint.descriptor(), endpoint.descriptor())
         && nowNanos - attempt.forwardedAtNanos
             < requestClass.deduplicationWindowNanos() - clockResolutionNanos;
   }
 
-  private static boolean isShared(
-      DeduplicationScope scope, EndpointDescriptor one, EndpointDescriptor other) {
+  private static boolean isInScope(
+      DeduplicationScope scope, EndpointDescriptor attempted, EndpointDescriptor candidate) {
     return switch (scope) {
       case ALL -> true;
-      case ZONE -> one.zone().equals(other.zone());
-      case CELL -> one.deduplicationCell() == other.deduplicationCell();
+      case ZONE -> attempted.zone().equals(candidate.zone());
+      case CELL -> attempted.deduplicationCell() == candidate.deduplicationCell();
     };
   }
 
-  /** Whether the client may be told that the request was rejected, and so may be sent again. */
+  /** Returns whether the request may be rejected, which tells the client that a retry is safe. */
   boolean mayReject(PendingRequest pending) {
     RequestClass requestClass = pending.requestClass;
     return requestClass.effect() == RequestEffect.IDEMPOTENT
--- a/src/main/java/loadbalancer/policy/SweepTimer.java
+++ b/src/main/java/loadbalancer/policy/SweepTimer.java
@@ -5,14 +5,14 @@
 import loadbalancer.policy.action.SetTimer;
 
 /**
- * The one timer of a policy. It is set anew only for an earlier time, as timers cannot be
- * cancelled; one that was overtaken by an earlier one is ignored when it fires.
+ * The only timer of a policy. Timers cannot be cancelled, so a new one is set only if it is due
+ * earlier than the current one. The replaced timer is ignored when it fires.
  */
 final class SweepTimer {
-  /** The period of the sweeps while requests wait: short against any latency objective. */
+  /** The sweep period while requests are queued; short relative to any latency objective. */
   static final long QUEUE_PERIOD_NANOS = 10_000_000L;
 
-  /** A balancer's timers may be coarser than its clock and fire this much early. */
+  /** How early a timer may fire, since a balancer's timers may be coarser than its clock. */
   private static final long EARLY_TOLERANCE_NANOS = 1_000_000L;
 
   private static final String TIMER_ID = "sweep";
@@ -20,7 +20,7 @@
 
   private long fireAtNanos = NOT_SET;
 
-  /** Asks for a sweep at this time at the latest. */
+  /** Schedules a sweep no later than the given time. */
   void schedule(long atNanos, Consumer<Action> actions) {
     if (atNanos < fireAtNanos) {
       fireAtNanos = atNanos;
@@ -28,8 +28,12 @@
     }
   }
 
-  /** Whether a timer that fired now is the one that is set, which is then set no more. */
-  boolean takeDue(long nowNanos) {
+  /**
+   * Clears the current timer if it is due.
+   *
+   * @return whether it was due; false for a timer that was replaced by an earlier one
+   */
+  boolean clearIfDue(long nowNanos) {
     if (nowNanos < fireAtNanos - EARLY_TOLERANCE_NANOS) {
       return false;
     }
