--- a/src/main/java/loadbalancer/policy/action/Action.java
+++ b/src/main/java/loadbalancer/policy/action/Action.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy.action;
 
-/** What the policy asks the balancer to do; actions are carried out in the order given. */
+/** An output of the policy. The balancer carries out actions in the order in which it gets them. */
 public sealed interface Action
     permits CancelAttempt,
         CheckHealth,
--- a/src/main/java/loadbalancer/policy/action/CancelAttempt.java
+++ b/src/main/java/loadbalancer/policy/action/CancelAttempt.java
@@ -1,9 +1,9 @@
 package loadbalancer.policy.action;
 
 /**
- * Stop waiting for an attempt; whether the endpoint stops working on it is up to the endpoint.
+ * Cancels an attempt. The endpoint may still complete the work on it.
  *
- * @param requestId the request
+ * @param requestId the identifier of the attempt's request
  * @param attempt the attempt's index, counted from 0 in forwarding order
  */
 public record CancelAttempt(String requestId, int attempt) implements Action {}
--- a/src/main/java/loadbalancer/policy/action/CheckHealth.java
+++ b/src/main/java/loadbalancer/policy/action/CheckHealth.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy.action;
 
 /**
- * Send a health check to an endpoint.
+ * Sends a health check to an endpoint.
  *
- * @param endpointId the endpoint to check
+ * @param endpointId the identifier of the endpoint
  */
 public record CheckHealth(long endpointId) implements Action {}
--- a/src/main/java/loadbalancer/policy/action/CloseIdleConnections.java
+++ b/src/main/java/loadbalancer/policy/action/CloseIdleConnections.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy.action;
 
 /**
- * Close this balancer's idle connections to an endpoint.
+ * Closes this balancer's idle connections to an endpoint.
  *
- * @param endpointId the endpoint
+ * @param endpointId the identifier of the endpoint
  */
 public record CloseIdleConnections(long endpointId) implements Action {}
--- a/src/main/java/loadbalancer/policy/action/FailRequest.java
+++ b/src/main/java/loadbalancer/policy/action/FailRequest.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy.action;
 
 /**
- * Final answer: the request failed, with no promise of whether it ran.
+ * Sends the final response that the request failed. It does not state whether the request ran.
  *
- * @param requestId the request
+ * @param requestId the identifier of the request
  */
 public record FailRequest(String requestId) implements Action {}
--- a/src/main/java/loadbalancer/policy/action/FetchEndpoints.java
+++ b/src/main/java/loadbalancer/policy/action/FetchEndpoints.java
@@ -1,4 +1,4 @@
 package loadbalancer.policy.action;
 
-/** Fetch the complete endpoint list once. */
+/** Fetches the complete endpoint list once. */
 public record FetchEndpoints() implements Action {}
--- a/src/main/java/loadbalancer/policy/action/RejectRequest.java
+++ b/src/main/java/loadbalancer/policy/action/RejectRequest.java
@@ -1,9 +1,9 @@
 package loadbalancer.policy.action;
 
 /**
- * Final answer: the request is rejected, and the client may safely send it again.
+ * Sends the final response that the request was rejected and that the client may safely retry it.
  *
- * @param requestId the request
- * @param retryAfterNanos how long the client should wait before it retries; 0 for no advice
+ * @param requestId the identifier of the request
+ * @param retryAfterNanos how long the client should wait before a retry; 0 if unspecified
  */
 public record RejectRequest(String requestId, long retryAfterNanos) implements Action {}
--- a/src/main/java/loadbalancer/policy/action/SetTimer.java
+++ b/src/main/java/loadbalancer/policy/action/SetTimer.java
@@ -1,9 +1,10 @@
 package loadbalancer.policy.action;
 
 /**
- * Ask for a {@link loadbalancer.policy.event.TimerFired} event. Timers cannot be cancelled.
+ * Sets a timer that results in one {@link loadbalancer.policy.event.TimerFired} event. Timers
+ * cannot be cancelled.
  *
- * @param timerId returned with the event
+ * @param timerId the identifier that the event returns
  * @param fireAtNanos when the timer is due, on the balancer's clock
  */
 public record SetTimer(String timerId, long fireAtNanos) implements Action {}
--- a/src/main/java/loadbalancer/policy/action/WatchEndpoints.java
+++ b/src/main/java/loadbalancer/policy/action/WatchEndpoints.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy.action;
 
 /**
- * Start or end the watch of the endpoint list. A start is answered by one endpoint list update.
+ * Starts or ends the watch of the endpoint list. A start results in one endpoint list update.
  *
- * @param enabled whether the list is to be watched
+ * @param enabled true to start the watch, false to end it
  */
 public record WatchEndpoints(boolean enabled) implements Action {}
--- a/src/main/java/loadbalancer/policy/action/package-info.java
+++ b/src/main/java/loadbalancer/policy/action/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a policy asks its balancer to do: forward, cancel, reject or fail requests, set timers,
- * watch the endpoint list.
+ * The outputs of a policy: forward, cancel, reject or fail requests, set timers and watch the
+ * endpoint list.
  */
 package loadbalancer.policy.action;
--- a/src/main/java/loadbalancer/policy/event/AttemptCompleted.java
+++ b/src/main/java/loadbalancer/policy/event/AttemptCompleted.java
@@ -3,18 +3,18 @@
 import java.util.Map;
 
 /**
- * An attempt ended; every forwarded attempt ends exactly once.
+ * An attempt completed. Every forwarded attempt completes exactly once.
  *
- * @param requestId the request
+ * @param requestId the identifier of the attempt's request
  * @param attempt the attempt's index, counted from 0 in forwarding order
- * @param endpointId the endpoint that the attempt was forwarded to
- * @param status how the attempt ended
+ * @param endpointId the identifier of the endpoint that the attempt was forwarded to
+ * @param status the outcome of the attempt
  * @param latencyNanos the time since the attempt was forwarded
- * @param requestFinished whether the request has its final answer; the first {@link
- *     AttemptStatus#SERVED} finishes it by itself
- * @param loadReport the endpoint's load report, empty where none came
- * @param foundStaleConnection whether a pooled connection was reset by the request before any byte
- *     came back, which says something of the connection and nothing of the endpoint
+ * @param requestFinished whether the request is completed and needs no final response any more; the
+ *     first {@link AttemptStatus#SERVED} attempt completes it without an action of the policy
+ * @param loadReport the endpoint's load report; empty if it sent none
+ * @param foundStaleConnection whether the attempt was reset on a pooled connection before any byte
+ *     of a response arrived, which indicates a stale connection rather than a failing endpoint
  */
 public record AttemptCompleted(
     String requestId,
@@ -27,7 +27,7 @@
     boolean foundStaleConnection)
     implements Event {
 
-  /** An attempt whose connection was not found stale. */
+  /** Creates an event for an attempt that did not find a stale connection. */
   @SuppressWarnings("checkstyle:ParameterNumber") // The components of the record.
   public AttemptCompleted(
       String requestId,
--- a/src/main/java/loadbalancer/policy/event/ClientDisconnected.java
+++ b/src/main/java/loadbalancer/policy/event/ClientDisconnected.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy.event;
 
 /**
- * The client left, so no answer is owed any more.
+ * A client disconnected before the final response of its request, which is not needed any more.
  *
- * @param requestId the request that the client waited for
+ * @param requestId the identifier of the request
  */
 public record ClientDisconnected(String requestId) implements Event {}
--- a/src/main/java/loadbalancer/policy/event/EndpointListUpdate.java
+++ b/src/main/java/loadbalancer/policy/event/EndpointListUpdate.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * A watch event of the endpoint list. The first update of an instance is of kind {@link
- * Kind#CACHED}.
+ * An update of the endpoint list, or the failure of its watch. The first update that a policy
+ * receives is of kind {@link Kind#CACHED}.
  *
- * @param kind how the entries are to be applied
- * @param entries the endpoints that the update names; empty after a failure
+ * @param kind how the entries relate to the current list
+ * @param entries the endpoints in the update; empty after a failure
  */
 public record EndpointListUpdate(Kind kind, List<EndpointDescriptor> entries) implements Event {
 
-  /** How an update relates to the list held so far. */
+  /** How an update relates to the current list. */
   public enum Kind {
-    /** Changed entries only. */
+    /** Only the changed entries. */
     DELTA,
-    /** The complete list; an endpoint that it does not name has been removed. */
+    /** The complete list; an endpoint without an entry has been removed. */
     FULL,
-    /** The complete list as the balancer last held it, possibly stale. */
+    /** The complete list as last known to the balancer, possibly stale. */
     CACHED,
-    /** The watch or the fetch failed; the list stays as it was. */
+    /** The watch or a fetch of the list failed; the current list stays in use. */
     FAILED
   }
 }
--- a/src/main/java/loadbalancer/policy/event/EndpointStatus.java
+++ b/src/main/java/loadbalancer/policy/event/EndpointStatus.java
@@ -1,10 +1,10 @@
 package loadbalancer.policy.event;
 
-/** What the endpoint list says of an endpoint. */
+/** The status of an endpoint in the endpoint list. */
 public enum EndpointStatus {
-  /** In service; takes new requests. */
+  /** In service; accepts new requests. */
   READY,
-  /** Finishes what it has and takes nothing new. */
+  /** Completes its requests in flight and accepts no new ones. */
   DRAINING,
   /** No longer in service. */
   REMOVED
--- a/src/main/java/loadbalancer/policy/event/Event.java
+++ b/src/main/java/loadbalancer/policy/event/Event.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy.event;
 
-/** What happened to a balancer, in the order in which it happened. */
+/** An input of the policy. Events are handled in the order in which they occurred. */
 public sealed interface Event
     permits AttemptCompleted,
         ClientDisconnected,
--- a/src/main/java/loadbalancer/policy/event/HealthCheckCompleted.java
+++ b/src/main/java/loadbalancer/policy/event/HealthCheckCompleted.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 
 /**
- * A health check ended.
+ * A health check completed.
  *
- * @param endpointId the endpoint that was checked
- * @param status how the check ended
+ * @param endpointId the identifier of the endpoint that was checked
+ * @param status the outcome of the check
  * @param latencyNanos the time since the check was sent
- * @param loadReport the endpoint's load report, empty where none came
+ * @param loadReport the endpoint's load report; empty if it sent none
  */
 public record HealthCheckCompleted(
     long endpointId, AttemptStatus status, long latencyNanos, Map<String, Double> loadReport)
--- a/src/main/java/loadbalancer/policy/event/PeerMessageReceived.java
+++ b/src/main/java/loadbalancer/policy/event/PeerMessageReceived.java
@@ -1,9 +1,9 @@
 package loadbalancer.policy.event;
 
 /**
- * Another balancer of the group sent a message.
+ * A message from another balancer of the group arrived.
  *
- * @param sender the instance index of the balancer that sent it
- * @param payload the message's bytes
+ * @param sender the sender's instance index
+ * @param payload the content of the message
  */
 public record PeerMessageReceived(int sender, byte[] payload) implements Event {}
--- a/src/main/java/loadbalancer/policy/event/RequestArrived.java
+++ b/src/main/java/loadbalancer/policy/event/RequestArrived.java
@@ -1,15 +1,16 @@
 package loadbalancer.policy.event;
 
 /**
- * A client's request, which is owed exactly one final answer by its deadline.
+ * A client's request arrived. It needs exactly one final response by its deadline, unless the
+ * client disconnects first.
  *
- * @param requestId unique among all requests, retries of clients included
- * @param className the request class, as named in the settings
- * @param tenant the tenant, or null where the deployment has none
- * @param key what the request concerns, used for affinity; or null
+ * @param requestId unique among all requests; a client's retry is a new request
+ * @param className the name of the request class in the settings
+ * @param tenant the name of the tenant, or null if the deployment has no tenants
+ * @param key the key for affinity, or null if the request has none
  * @param deadlineNanos when the client stops waiting, on the balancer's clock
- * @param workHintNanos the work to expect, as time on a standard core; 0 where no hint came
- * @param clientRetry whether the client marked the request as a retry of its own
+ * @param workHintNanos the expected work, as time on a standard core; 0 if there was no hint
+ * @param clientRetry whether the client marked the request as a retry
  */
 public record RequestArrived(
     String requestId,
--- a/src/main/java/loadbalancer/policy/event/TimerFired.java
+++ b/src/main/java/loadbalancer/policy/event/TimerFired.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy.event;
 
 /**
- * A timer that the policy set has come due.
+ * A timer that the policy set has fired.
  *
- * @param timerId the identifier given when the timer was set
+ * @param timerId the identifier from the action that set the timer
  */
 public record TimerFired(String timerId) implements Event {}
--- a/src/main/java/loadbalancer/policy/event/package-info.java
+++ b/src/main/java/loadbalancer/policy/event/package-info.java
@@ -1,4 +1,2 @@
-/**
- * What a balancer tells its policy: requests, completed attempts, timers and endpoint list updates.
- */
+/** The inputs of a policy: requests, completed attempts, timers and endpoint list updates. */
 package loadbalancer.policy.event;
