--- a/src/test/java/loadbalancer/policy/EmbeddingExample.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingExample.java
@@ -18,12 +18,15 @@
 import loadbalancer.policy.settings.ServiceRules;
 import loadbalancer.policy.settings.WeightKind;
 
-/** How a proxy embeds a policy: settings once, then events in and actions out. */
+/**
+ * Shows how a proxy embeds a policy: it creates the policy with its settings, passes events in and
+ * carries out the resulting actions.
+ */
 final class EmbeddingExample {
 
   private EmbeddingExample() {}
 
-  /** One balancer, two endpoints, one request; the actions that the proxy is to carry out. */
+  /** Passes an endpoint list and one request to a policy and returns the resulting actions. */
   static List<Action> firstRequest() {
     LoadBalancingPolicy policy = new AdaptiveLoadBalancingPolicy(settings(), /* seed= */ 42);
     List<Action> actions = new ArrayList<>();
--- a/src/test/java/loadbalancer/policy/EmbeddingExampleTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingExampleTest.java
@@ -9,11 +9,11 @@
 import loadbalancer.policy.action.SetTimer;
 import org.junit.jupiter.api.Test;
 
-/** The README's example does what the README says. */
+/** Tests that the policy in {@link EmbeddingExample} returns the expected actions. */
 class EmbeddingExampleTest {
 
   @Test
-  void firstRequestIsForwardedAndATimerSet() {
+  void firstRequestIsForwardedAndTimerIsSet() {
     List<Action> actions = EmbeddingExample.firstRequest();
     ForwardAttempt forward = assertInstanceOf(ForwardAttempt.class, actions.get(0));
     assertEquals("r1", forward.requestId());
--- a/src/test/java/loadbalancer/policy/HedgingTest.java
+++ b/src/test/java/loadbalancer/policy/HedgingTest.java
@@ -14,33 +14,36 @@
 import loadbalancer.policy.settings.PolicySettings;
 import org.junit.jupiter.api.Test;
 
-/** Unresponsive endpoints, and the hedges of their requests. */
+/** Tests the detection of unresponsive endpoints and the hedging of their requests. */
 class HedgingTest {
 
-  /** An endpoint that has frozen is passed over before its first attempt times out. */
+  /** A frozen endpoint must be detected and avoided before its first attempt times out. */
   @Test
-  void requestAtAnUnresponsiveEndpointIsHedgedOnceAndTheEndpointPassedOver() {
+  void requestAtUnresponsiveEndpointIsHedgedOnceAndEndpointIsAvoided() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(4);
     serveSteadyTraffic(driver);
-    long frozen = driver.serveRequest("k1", millis(10));
+    long frozenEndpointId = driver.serveRequest("k1", millis(10));
     String requestId = driver.nextRequestId();
-    assertEquals(frozen, PolicyDriver.forwardedTo(driver.requestArrives(requestId, "k1")));
+    assertEquals(
+        frozenEndpointId, PolicyDriver.forwardedTo(driver.requestArrives(requestId, "k1")));
 
     List<ForwardAttempt> hedges =
         PolicyDriver.actionsOf(ForwardAttempt.class, driver.advance(millis(200)));
 
-    assertEquals(1, hedges.size(), "one hedge");
+    assertEquals(1, hedges.size(), "number of hedges");
     assertEquals(requestId, hedges.get(0).requestId());
-    assertNotEquals(frozen, hedges.get(0).endpointId());
-    assertNotEquals(frozen, driver.serveRequest("k1", millis(10)));
-    List<Action> answered =
+    assertNotEquals(frozenEndpointId, hedges.get(0).endpointId());
+    assertNotEquals(frozenEndpointId, driver.serveRequest("k1", millis(10)));
+    List<Action> actions =
         driver.attemptCompletes(
             requestId, hedges.get(0).endpointId(), AttemptStatus.SERVED, millis(10));
-    assertTrue(PolicyDriver.contains(answered, CancelAttempt.class), "the loser is cancelled");
+    assertTrue(
+        PolicyDriver.contains(actions, CancelAttempt.class), "the other attempt is cancelled");
   }
 
   /**
-   * Past its deadline a hedge is work for nobody, also where clients wait less than the objective.
+   * A hedge after the deadline is wasted work, even before the latency objective has passed: a
+   * client may wait for less time than the objective.
    */
   @Test
   void requestIsNotHedgedPastItsDeadline() {
@@ -64,7 +67,7 @@
   }
 
   @Test
-  void localDelayIsNotTakenForAnUnresponsiveEndpoint() {
+  void localDelayDoesNotMakeEndpointUnresponsive() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(2);
     for (int round = 0; round < 20; round++) {
       for (int i = 0; i < 12; i++) {
@@ -73,7 +76,7 @@
       driver.advanceCompletingAttempts(millis(260), AttemptStatus.SERVED, millis(250), millis(40));
     }
     long hedged = driver.requestsWithSeveralAttempts();
-    // The local delay of the first requests is not known before they are answered.
+    // The local delay is unknown until the 12 requests of the first round are served.
     assertTrue(hedged <= 12, "hedged requests: " + hedged);
   }
 
--- a/src/test/java/loadbalancer/policy/PolicyDriver.java
+++ b/src/test/java/loadbalancer/policy/PolicyDriver.java
@@ -20,12 +20,12 @@
 import loadbalancer.policy.settings.PolicySettings;
 
 /**
- * Drives one policy by hand: gives it events on a clock of its own, fires its timers as time
- * passes, and keeps a record of its attempts in flight and its rejections.
+ * Drives one policy in tests: passes events to it on a simulated clock, fires its timers as time
+ * advances, and records its attempts in flight and its rejections.
  */
 final class PolicyDriver {
 
-  /** In the place of an endpoint id: the request was not forwarded. */
+  /** Returned in place of an endpoint id if the request was not forwarded. */
   static final long NOT_FORWARDED = -1;
 
   private static final long SEED = 7;
@@ -41,19 +41,19 @@
   private final List<String> rejected = new ArrayList<>();
   private final Map<String, Integer> attemptsByRequest = new HashMap<>();
   private long nowNanos = millis(1_000_000);
-  private int requests;
+  private int requestCount;
 
-  /** Makes a policy that has no endpoint list yet. */
+  /** Creates a driver whose policy has no endpoint list yet. */
   PolicyDriver(PolicySettings settings) {
     policy = new AdaptiveLoadBalancingPolicy(settings, SEED);
   }
 
-  /** A policy of the default settings that knows so many ready endpoints, with ids from 100. */
+  /** Creates a driver with default settings and {@code count} ready endpoints with ids from 100. */
   static PolicyDriver withReadyEndpoints(int count) {
     return withReadyEndpoints(TestSettings.defaults(), count);
   }
 
-  /** A policy of these settings that knows so many ready endpoints, with ids from 100. */
+  /** Creates a driver with these settings and {@code count} ready endpoints with ids from 100. */
   static PolicyDriver withReadyEndpoints(PolicySettings settings, int count) {
     EndpointDescriptor[] endpoints = new EndpointDescriptor[count];
     for (int i = 0; i < count; i++) {
@@ -76,22 +76,22 @@
     return List.copyOf(inFlight);
   }
 
-  /** The ids of the rejected requests, in the order of their rejections. */
+  /** Returns the ids of the rejected requests in order of rejection. */
   List<String> rejected() {
     return rejected;
   }
 
-  /** How many requests were rejected whose id starts like this. */
+  /** Returns the number of rejected requests whose id has the prefix. */
   int rejected(String idPrefix) {
     return (int) rejected.stream().filter(id -> id.startsWith(idPrefix)).count();
   }
 
-  /** How many requests had more than one attempt. */
+  /** Returns the number of requests that had more than one attempt. */
   long requestsWithSeveralAttempts() {
     return attemptsByRequest.values().stream().filter(attempts -> attempts > 1).count();
   }
 
-  // ---- Events, each at the present clock reading; the actions that the policy answered with
+  // ---- Events at the current clock reading; each method returns the resulting actions
 
   List<Action> handle(Event event) {
     List<Action> actions = new ArrayList<>();
@@ -114,9 +114,9 @@
     return handle(new EndpointListUpdate(kind, List.of(entries)));
   }
 
-  /** An id that no other request of this driver has; it starts with r. */
+  /** Returns an unused request id with the prefix {@code r}. */
   String nextRequestId() {
-    return "r" + requests++;
+    return "r" + requestCount++;
   }
 
   List<Action> requestArrives(String requestId, String key) {
@@ -135,7 +135,7 @@
             false));
   }
 
-  /** Completes the attempt that a request has in flight at an endpoint. */
+  /** Completes the request's attempt in flight at the endpoint. */
   List<Action> attemptCompletes(
       String requestId, long endpointId, AttemptStatus status, long latencyNanos) {
     InFlightAttempt attempt =
@@ -159,7 +159,10 @@
             Map.of()));
   }
 
-  /** Resets a request's attempt at once, as on a stale pooled connection; its retry is served. */
+  /**
+   * Completes a request's attempt as reset on a stale pooled connection, then serves all attempts
+   * in flight, including its retry.
+   */
   void attemptFindsStaleConnection(String requestId) {
     InFlightAttempt attempt =
         inFlight.stream().filter(a -> a.requestId().equals(requestId)).findFirst().orElseThrow();
@@ -181,7 +184,7 @@
 
   // ---- Time
 
-  /** Lets time pass, firing the timers that come due; the actions of all of them. */
+  /** Advances the clock, fires the timers that become due and returns the resulting actions. */
   List<Action> advance(long nanos) {
     List<Action> actions = new ArrayList<>();
     long endNanos = nowNanos + nanos;
@@ -198,7 +201,10 @@
     return actions;
   }
 
-  /** Fires the last timer so much before it is due, as a coarse event loop may, and no other. */
+  /**
+   * Moves the clock to {@code earlyNanos} before the latest timer is due, fires that timer and
+   * drops all others. An event loop with coarse timers may fire this early.
+   */
   List<Action> fireLastTimerEarly(long earlyNanos) {
     nowNanos = timers.stream().mapToLong(t -> t).max().orElseThrow() - earlyNanos;
     timers.clear();
@@ -211,14 +217,15 @@
 
   // ---- Traffic
 
-  /** Lets time pass with endpoints that complete every attempt after the latency. */
+  /** Advances the clock while endpoints complete every attempt after the latency. */
   void advanceCompletingAttempts(long nanos, AttemptStatus status, long latencyNanos) {
     advanceCompletingAttempts(nanos, status, latencyNanos, Long.MAX_VALUE);
   }
 
   /**
-   * Lets time pass with attempts that complete after so long in flight, of which this much at most
-   * is latency of the endpoint; the rest is local delay.
+   * Advances the clock and completes every attempt once it has been in flight for {@code
+   * inFlightNanos}. At most {@code maxLatencyNanos} of that time is reported as the endpoint's
+   * latency; the rest is local delay.
    */
   void advanceCompletingAttempts(
       long nanos, AttemptStatus status, long inFlightNanos, long maxLatencyNanos) {
@@ -235,14 +242,14 @@
   }
 
   /**
-   * Has one request of a key arrive and served after the latency; the endpoint that it was
-   * forwarded to, or {@link #NOT_FORWARDED}.
+   * Sends a request with the key, serves it after the latency if it was forwarded, and returns its
+   * endpoint or {@link #NOT_FORWARDED}.
    */
   long serveRequest(String key, long latencyNanos) {
     return serveRequest(key, 0, latencyNanos);
   }
 
-  /** The same for a request that hints at its work. */
+  /** Like {@link #serveRequest(String, long)}, for a request with a work hint. */
   long serveRequest(String key, long workHintNanos, long latencyNanos) {
     String requestId = nextRequestId();
     long endpointId = forwardedTo(requestArrives(requestId, null, key, workHintNanos));
@@ -254,14 +261,14 @@
   }
 
   /**
-   * Offers requests at the rate that keeps so many in flight at this latency, all ended with the
-   * status; the fraction of them that was rejected.
+   * Offers requests at the rate that keeps {@code concurrency} attempts in flight at this latency,
+   * completes all attempts with the status and returns the fraction of rejected requests.
    */
   double rejectedFraction(int offered, int concurrency, long latencyNanos, AttemptStatus status) {
     return rejectedFraction(null, offered, concurrency, latencyNanos, status);
   }
 
-  /** The same for a tenant's requests. */
+  /** Like {@link #rejectedFraction(int, int, long, AttemptStatus)}, for a tenant's requests. */
   double rejectedFraction(
       String tenant, int offered, int concurrency, long latencyNanos, AttemptStatus status) {
     int rejectedBefore = rejected("r");
@@ -274,7 +281,7 @@
 
   // ---- Actions
 
-  /** The endpoint of the first attempt among the actions, or {@link #NOT_FORWARDED}. */
+  /** Returns the endpoint of the first forwarded attempt, or {@link #NOT_FORWARDED}. */
   static long forwardedTo(List<Action> actions) {
     return actionsOf(ForwardAttempt.class, actions).stream()
         .mapToLong(ForwardAttempt::endpointId)
@@ -286,7 +293,7 @@
     return !actionsOf(kind, actions).isEmpty();
   }
 
-  /** The actions of one kind. */
+  /** Returns the actions of one kind in order. */
   static <T extends Action> List<T> actionsOf(Class<T> kind, List<Action> actions) {
     return actions.stream().filter(kind::isInstance).map(kind::cast).toList();
   }
--- a/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -33,12 +33,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random legal events under random settings: the service's rules hold, and all state is freed. */
+/**
+ * Passes random valid events to policies with random settings and checks that the service's rules
+ * hold and that the policy releases its state when traffic stops.
+ */
 class RandomEventsTest {
 
-  private static final int ROUNDS_OF_TRAFFIC = 3000;
+  private static final int ROUNDS_WITH_TRAFFIC = 3000;
   private static final int ROUNDS_WITHOUT_TRAFFIC = 300;
-  private static final int ENDPOINTS_AT_START = 8;
+  private static final int INITIAL_ENDPOINTS = 8;
   private static final int ENDPOINTS = 12;
 
   private final List<Long> timers = new ArrayList<>();
@@ -54,17 +57,17 @@
       longs = {
         1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24
       })
-  void serviceRulesHoldAndStateIsFreedWhenTrafficStops(long seed) {
+  void serviceRulesHoldAndStateIsReleasedWhenTrafficStops(long seed) {
     random = new SplittableRandom(seed);
     settings = randomSettings();
     policy = new AdaptiveLoadBalancingPolicy(settings, seed);
     observer = new ServiceRulesObserver(settings);
-    for (int endpointId = 0; endpointId < ENDPOINTS_AT_START; endpointId++) {
+    for (int endpointId = 0; endpointId < INITIAL_ENDPOINTS; endpointId++) {
       changeEndpoint(endpointId);
     }
     handle(new EndpointListUpdate(EndpointListUpdate.Kind.CACHED, observer.endpoints()));
 
-    for (int round = 0; round < ROUNDS_OF_TRAFFIC; round++) {
+    for (int round = 0; round < ROUNDS_WITH_TRAFFIC; round++) {
       nowNanos += millis(random.nextLong(6));
       fireDueTimers();
       updateEndpointList();
@@ -77,19 +80,19 @@
       attemptsComplete(100);
     }
 
-    observer.checkAllAnswered();
-    checkStateIsFreed();
+    observer.checkAllCompleted();
+    checkStateIsReleased();
   }
 
-  private void checkStateIsFreed() {
+  private void checkStateIsReleased() {
     int idleTimers = timers.size();
     nowNanos += millis(60_000);
     fireDueTimers();
     assertTrue(
         timers.size() <= 1 && idleTimers <= 2,
-        "state empties when traffic stops: " + timers.size() + " timers");
-    assertEquals(0, policy.pendingRequests(), "requests still open");
-    assertEquals(0, policy.queuedRequests(), "requests still queued");
+        "timers after traffic stopped: " + idleTimers + ", a minute later: " + timers.size());
+    assertEquals(0, policy.pendingRequests(), "pending requests");
+    assertEquals(0, policy.queuedRequests(), "queued requests");
   }
 
   // ---- Settings
@@ -155,7 +158,7 @@
 
   // ---- Events
 
-  /** Now and then a full or partial update with one changed endpoint, or a failed watch. */
+  /** Occasionally sends a full or partial update with one changed endpoint, or a failed watch. */
   private void updateEndpointList() {
     if (random.nextInt(100) < 4) {
       EndpointDescriptor changed = changeEndpoint(random.nextInt(ENDPOINTS));
@@ -168,7 +171,7 @@
     }
   }
 
-  /** Lists an endpoint in a new state. */
+  /** Adds an endpoint to the list or replaces it, with a random state. */
   private EndpointDescriptor changeEndpoint(long endpointId) {
     EndpointDescriptor descriptor =
         new EndpointDescriptor(
@@ -215,32 +218,33 @@
   }
 
   /**
-   * Completes attempts: those past the deadline time out, a quarter of the percentage at random.
+   * Completes attempts: those past their request's deadline time out or are cancelled, any other
+   * one completes with a probability of {@code percent / 4} percent. A few clients disconnect.
    */
   private void attemptsComplete(int percent) {
     for (ObservedRequest request : observer.requests()) {
-      boolean isLate = nowNanos >= request.deadlineNanos;
+      boolean isPastDeadline = nowNanos >= request.deadlineNanos;
       for (int i = 0; i < request.attempts.size(); i++) {
         ObservedAttempt attempt = request.attempts.get(i);
-        if (attempt.isInFlight() && (isLate || random.nextInt(100) < percent / 4)) {
-          observer.attemptCompleted(request, attempt, randomCompletion(request, isLate));
+        if (attempt.isInFlight() && (isPastDeadline || random.nextInt(100) < percent / 4)) {
+          observer.attemptCompleted(request, attempt, randomAttemptStatus(request, isPastDeadline));
           handle(attemptCompleted(request, i));
         }
       }
-      if (!request.isAnswered() && random.nextInt(2000) == 0) {
+      if (!request.isCompleted() && random.nextInt(2000) == 0) {
         observer.clientDisconnected(request);
         handle(new ClientDisconnected(request.requestId));
       }
-      observer.checkAnsweredInTime(nowNanos, request);
+      observer.checkCompletedInTime(nowNanos, request);
     }
-    observer.forgetFinishedRequests();
+    observer.removeCompletedRequests();
   }
 
-  private AttemptStatus randomCompletion(ObservedRequest request, boolean isLate) {
-    if (request.isAnswered() && random.nextBoolean()) {
+  private AttemptStatus randomAttemptStatus(ObservedRequest request, boolean isPastDeadline) {
+    if (request.isCompleted() && random.nextBoolean()) {
       return AttemptStatus.CANCELLED;
     }
-    if (isLate) {
+    if (isPastDeadline) {
       return AttemptStatus.TIMEOUT;
     }
     return random.nextInt(2) == 0
@@ -256,7 +260,7 @@
         attempt.endpoint.endpointId(),
         attempt.status(),
         nowNanos - attempt.forwardedNanos,
-        request.isAnswered(),
+        request.isCompleted(),
         Map.of());
   }
 
--- a/src/test/java/loadbalancer/policy/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/policy/RequestLifecycleTest.java
@@ -22,11 +22,11 @@
 import loadbalancer.policy.settings.RequestEffect;
 import org.junit.jupiter.api.Test;
 
-/** A request from its arrival to its one final answer. */
+/** Tests the path of a request from its arrival to its only final response. */
 class RequestLifecycleTest {
 
   @Test
-  void requestIsRejectedWhenNoEndpointIsLeft() {
+  void requestIsRejectedWhenThereIsNoEndpoint() {
     PolicyDriver driver = new PolicyDriver(TestSettings.defaults());
     driver.updateEndpoints(EndpointListUpdate.Kind.CACHED);
     assertTrue(
@@ -35,9 +35,9 @@
     assertTrue(PolicyDriver.contains(driver.advance(millis(2000)), RejectRequest.class));
   }
 
-  /** The proxy's time-out may never come; the final answer is still due within the slack. */
+  /** The proxy may never report a time-out; the final response is still due within the slack. */
   @Test
-  void attemptThatNeverCompletesDoesNotKeepARequestPastItsDeadline() {
+  void requestFailsAfterItsDeadlineEvenIfItsAttemptNeverCompletes() {
     PolicyDriver driver =
         PolicyDriver.withReadyEndpoints(
             new TestSettings()
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void requestHasNoDeadlineOnceItsStreamedResponseHasStarted() {
+  void requestHasNoDeadlineAfterItsStreamedResponseStarted() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(1);
     driver.requestArrives("r", "k");
     driver.handle(new ResponseStarted("r", 0, 100, millis(1)));
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void attemptInFlightIsCancelledAndNotRetriedAfterItsClientDisconnects() {
+  void attemptIsCancelledAndNotRetriedAfterItsClientDisconnects() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(2);
     long endpointId = PolicyDriver.forwardedTo(driver.requestArrives("r", "k"));
     assertTrue(
@@ -89,27 +89,30 @@
     assertEquals(PolicyDriver.NOT_FORWARDED, PolicyDriver.forwardedTo(actions));
   }
 
-  /** Events may name requests and timers that the policy holds no more, and lists may be odd. */
+  /**
+   * Events may refer to unknown requests and timers, requests may arrive before any endpoint list,
+   * and lists may be empty or contain no ready endpoint.
+   */
   @Test
-  void oddButLegalEventsAreAccepted() {
+  void eventsWithUnknownIdsAndListsWithoutReadyEndpointsAreAccepted() {
     PolicyDriver driver = new PolicyDriver(TestSettings.defaults());
     assertEquals(
         PolicyDriver.NOT_FORWARDED,
         PolicyDriver.forwardedTo(driver.requestArrives("early", "k")),
-        "before any list");
+        "forwarded before the first endpoint list");
     driver.updateEndpoints(EndpointListUpdate.Kind.FAILED);
     driver.updateEndpoints(EndpointListUpdate.Kind.CACHED);
     driver.updateEndpoints(EndpointListUpdate.Kind.FULL, TestEndpoints.draining(1));
     assertEquals(
         PolicyDriver.NOT_FORWARDED, PolicyDriver.forwardedTo(driver.requestArrives("r0", null)));
-    driver.handle(new ClientDisconnected("never"));
-    driver.handle(new TimerFired("never"));
-    driver.handle(new ResponseStarted("never", 0, 9, 1));
-    driver.handle(new AttemptCompleted("never", 3, 9, AttemptStatus.SERVED, 1, true, Map.of()));
+    driver.handle(new ClientDisconnected("unknown"));
+    driver.handle(new TimerFired("unknown"));
+    driver.handle(new ResponseStarted("unknown", 0, 9, 1));
+    driver.handle(new AttemptCompleted("unknown", 3, 9, AttemptStatus.SERVED, 1, true, Map.of()));
     driver.updateEndpoints(EndpointListUpdate.Kind.DELTA, TestEndpoints.ready(2));
     assertEquals(2, PolicyDriver.forwardedTo(driver.requestArrives("r1", null)));
-    RequestArrived ofUnknownClass =
+    RequestArrived requestOfUnknownClass =
         new RequestArrived("r2", "unknown", null, null, driver.nowNanos() + millis(2000), 0, false);
-    assertTrue(PolicyDriver.contains(driver.handle(ofUnknownClass), RejectRequest.class));
+    assertTrue(PolicyDriver.contains(driver.handle(requestOfUnknownClass), RejectRequest.class));
   }
 }
--- a/src/test/java/loadbalancer/policy/RetryBudgetTest.java
+++ b/src/test/java/loadbalancer/policy/RetryBudgetTest.java
@@ -9,10 +9,10 @@
 import loadbalancer.policy.event.AttemptStatus;
 import org.junit.jupiter.api.Test;
 
-/** How many retries a balancer adds to its load. */
+/** Tests how many retries a balancer adds to its load. */
 class RetryBudgetTest {
 
-  /** Has a request arrive and every attempt at it rejected at once; how many attempts it got. */
+  /** Sends a request, rejects each of its attempts and returns the number of attempts. */
   private static int attemptsOfRejectedRequest(PolicyDriver driver, String key) {
     String requestId = driver.nextRequestId();
     int attempts = 0;
@@ -26,9 +26,9 @@
     return attempts;
   }
 
-  /** Retries must not become a storm where every attempt fails. */
+  /** Guards against a retry storm when every attempt fails. */
   @Test
-  void retriesStayAFractionOfTheRequestsWhenEveryAttemptFails() {
+  void retriesStayAFractionOfRequestsWhenEveryAttemptFails() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(12);
     int attempts = 0;
     for (int i = 0; i < 500; i++) {
@@ -38,14 +38,14 @@
     assertTrue(attempts > 500 && attempts < 500 * 1.2 + 40, "attempts: " + attempts);
   }
 
-  /** A fixed initial budget, times hundreds of balancers, would be an overload by itself. */
+  /** A fixed initial budget at each of hundreds of balancers would cause an overload by itself. */
   @Test
-  void balancerWithLittleTrafficRetriesLittle() {
+  void balancerWithLittleTrafficRetriesFewRequests() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(12);
     int retries = 0;
     for (int i = 0; i < 10; i++) {
       int attempts = attemptsOfRejectedRequest(driver, "k" + i);
-      assertTrue(attempts >= 1, "forwarded");
+      assertTrue(attempts >= 1, "attempts: " + attempts);
       retries += attempts - 1;
       driver.advance(millis(300));
     }
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void requestGetsItsMaxAttemptsAndNoneAfterItsFinalAnswer() {
+  void requestGetsMaxAttemptsAndNoneAfterItsFinalResponse() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(12);
     for (int i = 0; i < 50; i++) {
       driver.serveRequest("k", millis(1));
--- a/src/test/java/loadbalancer/policy/RetrySafetyTest.java
+++ b/src/test/java/loadbalancer/policy/RetrySafetyTest.java
@@ -19,12 +19,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What may follow an attempt, for each effect, deduplication scope and status: where the request
- * may be retried, and which final answer it may get.
+ * Tests where a request may be retried after an attempt and which final response it may get, for
+ * each request effect, deduplication scope and attempt status.
  */
 class RetrySafetyTest {
 
-  private static final String REQUEST = "r";
+  private static final String REQUEST_ID = "r";
   private static final long FIRST = 1;
   private static final long SAME_CELL = 2;
   private static final long SAME_ZONE = 3;
@@ -36,12 +36,12 @@
         endpointId == OTHER_ZONE ? "b" : "a", deduplicationCell, endpointId);
   }
 
-  /** A request whose first attempt is in flight at {@link #FIRST}, and endpoints listed after. */
+  /** Forwards a request to {@link #FIRST}, then adds the other endpoints to the list. */
   private static PolicyDriver firstAttemptInFlight(
       RequestEffect effect, DeduplicationScope scope, long... otherEndpointIds) {
     PolicyDriver driver = new PolicyDriver(new TestSettings().requests(effect, scope).build());
     driver.updateEndpoints(EndpointListUpdate.Kind.CACHED, endpoint(FIRST));
-    driver.requestArrives(REQUEST, "k");
+    driver.requestArrives(REQUEST_ID, "k");
     driver.updateEndpoints(
         EndpointListUpdate.Kind.DELTA,
         Arrays.stream(otherEndpointIds)
@@ -52,8 +52,8 @@
 
   @ParameterizedTest
   @CsvSource({
-    // effect, scope, status of the first attempt, endpoints that may get a retry, final answer
-    // where there is none
+    // effect, scope, status of the first attempt, endpoints that may get a retry, final response
+    // if no endpoint is left
     "IDEMPOTENT, ALL, REJECTED, 2 3 4, RejectRequest",
     "IDEMPOTENT, CELL, CONNECT_FAILED, 2 3 4, RejectRequest",
     "IDEMPOTENT, ALL, ERROR, 2 3 4, RejectRequest",
@@ -86,42 +86,42 @@
     "IDEMPOTENT_WITH_KEY, CELL, TIMEOUT, 2, FailRequest",
     "IDEMPOTENT_WITH_KEY, CELL, CANCELLED, 2, FailRequest"
   })
-  void firstAttemptDecidesOnRetryAndFinalAnswer(
+  void firstAttemptDeterminesRetryAndFinalResponse(
       RequestEffect effect,
       DeduplicationScope scope,
       AttemptStatus status,
       String retryEndpointIds,
-      String finalAnswer) {
-    for (long other : List.of(SAME_CELL, SAME_ZONE, OTHER_ZONE)) {
-      PolicyDriver driver = firstAttemptInFlight(effect, scope, other);
-      List<Action> retry = driver.attemptCompletes(REQUEST, FIRST, status, millis(1));
+      String finalResponse) {
+    for (long endpointId : List.of(SAME_CELL, SAME_ZONE, OTHER_ZONE)) {
+      PolicyDriver driver = firstAttemptInFlight(effect, scope, endpointId);
+      List<Action> retry = driver.attemptCompletes(REQUEST_ID, FIRST, status, millis(1));
       assertEquals(
-          retryEndpointIds.contains("" + other) ? other : PolicyDriver.NOT_FORWARDED,
+          retryEndpointIds.contains("" + endpointId) ? endpointId : PolicyDriver.NOT_FORWARDED,
           PolicyDriver.forwardedTo(retry),
-          "retried at " + other);
+          "retried at " + endpointId);
     }
 
     PolicyDriver driver = firstAttemptInFlight(effect, scope);
     driver.updateEndpoints(EndpointListUpdate.Kind.FULL);
     List<Action> actions =
-        new ArrayList<>(driver.attemptCompletes(REQUEST, FIRST, status, millis(1)));
+        new ArrayList<>(driver.attemptCompletes(REQUEST_ID, FIRST, status, millis(1)));
     actions.addAll(driver.advance(millis(2000)));
-    List<Action> finalAnswers =
+    List<Action> finalResponses =
         actions.stream()
             .filter(action -> action instanceof RejectRequest || action instanceof FailRequest)
             .toList();
-    assertEquals(1, finalAnswers.size());
-    assertEquals(finalAnswer, finalAnswers.get(0).getClass().getSimpleName());
+    assertEquals(1, finalResponses.size());
+    assertEquals(finalResponse, finalResponses.get(0).getClass().getSimpleName());
   }
 
   @Test
-  void requestWithAnIdempotencyKeyIsNotRetriedPastItsDeduplicationWindow() {
+  void requestWithIdempotencyKeyIsNotRetriedAfterItsDeduplicationWindow() {
     PolicyDriver driver =
         firstAttemptInFlight(
             RequestEffect.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL, SAME_CELL, SAME_ZONE);
     driver.advance(millis(1999));
     List<Action> actions =
-        driver.attemptCompletes(REQUEST, FIRST, AttemptStatus.ERROR, millis(1999));
+        driver.attemptCompletes(REQUEST_ID, FIRST, AttemptStatus.ERROR, millis(1999));
     assertEquals(PolicyDriver.NOT_FORWARDED, PolicyDriver.forwardedTo(actions));
   }
 }
--- a/src/test/java/loadbalancer/policy/ServiceRulesObserver.java
+++ b/src/test/java/loadbalancer/policy/ServiceRulesObserver.java
@@ -21,18 +21,18 @@
 import loadbalancer.policy.settings.RequestEffect;
 
 /**
- * Checks every action of a policy against the service's rules: one final answer in time, retries
- * only where they are safe, nothing new to draining endpoints. It keeps its own record of requests
- * and endpoints and knows nothing of how the policy decides.
+ * Checks every action of a policy against the service's rules: one final response in time, no
+ * unsafe retries and no new attempts to draining endpoints. It tracks requests and endpoints by
+ * itself and shares no logic with the policy.
  */
 final class ServiceRulesObserver {
 
-  /** An attempt as it was forwarded, with the endpoint as it was listed then. */
+  /** An attempt with its endpoint as listed when the attempt was forwarded. */
   static final class ObservedAttempt {
-    /** Where it was forwarded to. */
+    /** The endpoint that the attempt was forwarded to. */
     final EndpointDescriptor endpoint;
 
-    /** When it was forwarded. */
+    /** When the attempt was forwarded. */
     final long forwardedNanos;
 
     private AttemptStatus status;
@@ -46,7 +46,7 @@
       return status == null;
     }
 
-    /** How the attempt ended; null while it is in flight. */
+    /** Returns the outcome of the attempt, or null while it is in flight. */
     AttemptStatus status() {
       return status;
     }
@@ -56,19 +56,19 @@
     }
   }
 
-  /** A request, its attempts in forwarding order, and whether it has its final answer. */
+  /** A request that lacks its final response or has an attempt in flight. */
   static final class ObservedRequest {
-    /** The id that the request arrived with. */
+    /** The identifier of the request. */
     final String requestId;
 
-    /** When its client stops waiting. */
+    /** When the client stops waiting. */
     final long deadlineNanos;
 
-    /** Its attempts in forwarding order. */
+    /** The attempts in forwarding order. */
     final List<ObservedAttempt> attempts = new ArrayList<>();
 
     private final RequestClass requestClass;
-    private boolean answered;
+    private boolean completed;
 
     private ObservedRequest(String requestId, RequestClass requestClass, long deadlineNanos) {
       this.requestId = requestId;
@@ -76,8 +76,8 @@
       this.deadlineNanos = deadlineNanos;
     }
 
-    boolean isAnswered() {
-      return answered;
+    boolean isCompleted() {
+      return completed;
     }
 
     private boolean hasAttemptInFlight() {
@@ -93,13 +93,13 @@
     this.settings = settings;
   }
 
-  // ---- What happens to the balancer
+  // ---- Events
 
   void endpointListed(EndpointDescriptor descriptor) {
     endpoints.put(descriptor.endpointId(), descriptor);
   }
 
-  /** All endpoints as last listed, removed ones too. */
+  /** Returns all endpoints as last listed, including removed ones. */
   List<EndpointDescriptor> endpoints() {
     return List.copyOf(endpoints.values());
   }
@@ -108,22 +108,23 @@
     requests.put(requestId, new ObservedRequest(requestId, requestClass, deadlineNanos));
   }
 
-  /** The requests that lack their final answer or have an attempt in flight. */
+  /** Returns the requests that lack their final response or have an attempt in flight. */
   List<ObservedRequest> requests() {
     return List.copyOf(requests.values());
   }
 
   void attemptCompleted(ObservedRequest request, ObservedAttempt attempt, AttemptStatus status) {
     attempt.status = status;
-    request.answered |= status == AttemptStatus.SERVED;
+    request.completed |= status == AttemptStatus.SERVED;
   }
 
   void clientDisconnected(ObservedRequest request) {
-    request.answered = true;
+    request.completed = true;
   }
 
-  void forgetFinishedRequests() {
-    requests.values().removeIf(request -> request.answered && !request.hasAttemptInFlight());
+  /** Removes the completed requests that have no attempt in flight. */
+  void removeCompletedRequests() {
+    requests.values().removeIf(request -> request.completed && !request.hasAttemptInFlight());
   }
 
   // ---- Checks
@@ -134,51 +135,57 @@
     } else if (action instanceof RejectRequest reject) {
       checkRejection(requests.get(reject.requestId()));
     } else if (action instanceof FailRequest fail) {
-      checkFinalAnswer(requests.get(fail.requestId()));
+      checkFinalResponse(requests.get(fail.requestId()));
     } else if (action instanceof CancelAttempt) {
-      assertTrue(settings.limits().cancellation());
+      assertTrue(
+          settings.limits().cancellation(), "cancelled although the deployment does not allow it");
     }
   }
 
   private void checkForwardAttempt(long nowNanos, ForwardAttempt forward) {
     ObservedRequest request = requests.get(forward.requestId());
     EndpointDescriptor endpoint = endpoints.get(forward.endpointId());
-    assertTrue(!request.answered, "forwarded after the final answer");
-    assertEquals(EndpointStatus.READY, endpoint.status(), "forwarded to an endpoint not ready");
+    assertTrue(!request.completed, "forwarded after the final response");
+    assertEquals(
+        EndpointStatus.READY, endpoint.status(), "forwarded to an endpoint that is not ready");
     assertTrue(request.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
-    assertTrue(!request.hasAttemptInFlight() || settings.limits().hedging(), "hedged");
+    assertTrue(
+        !request.hasAttemptInFlight() || settings.limits().hedging(),
+        "hedged although the deployment does not allow it");
     assertTrue(nowNanos < request.deadlineNanos, "forwarded past the deadline");
     if (request.requestClass.effect() != RequestEffect.IDEMPOTENT) {
       for (ObservedAttempt earlier : request.attempts) {
         if (earlier.mayHaveRun()) {
-          checkRepeat(nowNanos, request.requestClass, earlier, endpoint);
+          checkRetry(nowNanos, request.requestClass, earlier, endpoint);
         }
       }
     }
     request.attempts.add(new ObservedAttempt(endpoint, nowNanos));
   }
 
-  /** Whether a request that is not idempotent may run at the endpoint after an earlier attempt. */
-  private static void checkRepeat(
+  /** Checks that a request that is not idempotent may be retried after an earlier attempt. */
+  private static void checkRetry(
       long nowNanos,
       RequestClass requestClass,
       ObservedAttempt earlier,
       EndpointDescriptor endpoint) {
     assertEquals(
-        RequestEffect.IDEMPOTENT_WITH_KEY, requestClass.effect(), "repeated without a key");
+        RequestEffect.IDEMPOTENT_WITH_KEY,
+        requestClass.effect(),
+        "retried without an idempotency key");
     assertTrue(
         nowNanos - earlier.forwardedNanos < requestClass.deduplicationWindowNanos(),
-        "repeated past the deduplication window");
+        "retried after the deduplication window");
     DeduplicationScope scope = requestClass.deduplicationScope();
     assertTrue(
         scope == DeduplicationScope.ALL
             || (scope == DeduplicationScope.ZONE && earlier.endpoint.zone().equals(endpoint.zone()))
             || (scope == DeduplicationScope.CELL
                 && earlier.endpoint.deduplicationCell() == endpoint.deduplicationCell()),
-        "repeated outside the deduplication scope");
+        "retried outside the deduplication scope");
   }
 
-  /** A rejection promises the client that a retry does no harm. */
+  /** Checks that a retry by the client is safe, which a rejection tells the client. */
   private static void checkRejection(ObservedRequest request) {
     RequestClass requestClass = request.requestClass;
     boolean mayHaveRun = request.attempts.stream().anyMatch(ObservedAttempt::mayHaveRun);
@@ -187,27 +194,27 @@
             || requestClass.effect() == RequestEffect.IDEMPOTENT
             || (requestClass.effect() == RequestEffect.IDEMPOTENT_WITH_KEY
                 && requestClass.deduplicationScope() == DeduplicationScope.ALL),
-        "the rejection promises too much");
-    checkFinalAnswer(request);
+        "rejected although a retry is not safe");
+    checkFinalResponse(request);
   }
 
-  private static void checkFinalAnswer(ObservedRequest request) {
-    assertTrue(!request.answered, "more than one final answer");
-    request.answered = true;
+  private static void checkFinalResponse(ObservedRequest request) {
+    assertTrue(!request.completed, "more than one final response");
+    request.completed = true;
   }
 
-  /** Checks that a request has its final answer or still has time for it. */
-  void checkAnsweredInTime(long nowNanos, ObservedRequest request) {
+  /** Checks that a request is completed or that its final response is not overdue. */
+  void checkCompletedInTime(long nowNanos, ObservedRequest request) {
     assertTrue(
-        request.answered
+        request.completed
             || nowNanos <= request.deadlineNanos + settings.serviceRules().responseSlackNanos(),
-        "late: " + request.requestId);
+        "no final response in time for " + request.requestId);
   }
 
-  void checkAllAnswered() {
+  void checkAllCompleted() {
     requests
         .values()
         .forEach(
-            request -> assertTrue(request.answered, "no final answer for " + request.requestId));
+            request -> assertTrue(request.completed, "no final response for " + request.requestId));
   }
 }
--- a/src/test/java/loadbalancer/policy/WatchBackoffTest.java
+++ b/src/test/java/loadbalancer/policy/WatchBackoffTest.java
@@ -12,11 +12,11 @@
 import loadbalancer.policy.settings.PolicySettings;
 import org.junit.jupiter.api.Test;
 
-/** When the watch of the endpoint list is started, and started again after a failure. */
+/** Tests when the watch of the endpoint list is started, and restarted after a failure. */
 class WatchBackoffTest {
 
   @Test
-  void polledListIsWatchedAtTheStartAndAgainAfterEachFailure() {
+  void polledListIsWatchedAtStartAndAfterEachFailure() {
     PolicyDriver driver = new PolicyDriver(new TestSettings().endpointListPolled().build());
     assertTrue(
         PolicyDriver.contains(
@@ -26,7 +26,7 @@
       driver.updateEndpoints(EndpointListUpdate.Kind.FAILED);
       assertTrue(
           PolicyDriver.contains(driver.advance(millis(1000)), WatchEndpoints.class),
-          "watched again before updates count as notified");
+          "restarted before missed changes count as notified, failure " + i);
     }
     assertFalse(
         PolicyDriver.contains(
@@ -35,12 +35,12 @@
             WatchEndpoints.class));
     assertFalse(
         PolicyDriver.contains(driver.advance(millis(9000)), WatchEndpoints.class),
-        "a watch that is up is not started twice");
+        "started while the watch is running");
   }
 
   /** A timer that fires a fraction of a microsecond early must not end the polling. */
   @Test
-  void timerThatFiresALittleEarlyStillStartsTheWatch() {
+  void timerThatFiresEarlyStillStartsTheWatch() {
     PolicyDriver driver = new PolicyDriver(new TestSettings().endpointListPolled().build());
     driver.updateEndpoints(EndpointListUpdate.Kind.CACHED, TestEndpoints.ready(1));
     driver.updateEndpoints(EndpointListUpdate.Kind.FAILED);
@@ -51,9 +51,9 @@
     assertTrue(PolicyDriver.contains(actions, WatchEndpoints.class));
   }
 
-  /** Updates that come while no watch is up count as notified, so the drain grace runs. */
+  /** Changes count as notified even while no watch is running, so the drain grace starts to run. */
   @Test
-  void pushedListIsWatchedAgainWellInsideTheDrainGrace() {
+  void pushedListIsWatchedAgainWellWithinTheDrainGrace() {
     PolicySettings settings = TestSettings.defaults();
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(settings, 1);
     for (int failures = 1; failures <= 20; failures++) {
