--- a/src/main/java/loadbalancer/policy/AdaptiveLoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/policy/AdaptiveLoadBalancingPolicy.java
@@ -28,7 +28,7 @@
   private static final long MAX_SWEEP_ELAPSED_NANOS = 1_000_000_000L;
 
   private final PolicySettings settings;
-  private final PolicyParts components;
+  private final PolicyComponents components;
   private final SweepTimer sweepTimer = new SweepTimer();
   private final RequestLifecycle requestLifecycle;
   private final WatchBackoff watchBackoff;
@@ -43,7 +43,7 @@
     this.settings = settings;
     SplittableRandom random = new SplittableRandom(seed);
     LatencyObjectives objectives = LatencyObjectives.of(settings.requestClasses());
-    components = new PolicyParts(settings, objectives, random);
+    components = new PolicyComponents(settings, objectives, random);
     requestLifecycle =
         new RequestLifecycle(settings, components, sweepTimer, objectives.shortestNanos(), random);
     watchBackoff = new WatchBackoff(settings, random);
--- a/src/main/java/loadbalancer/policy/PolicyParts.java
+++ b/src/main/java/loadbalancer/policy/PolicyComponents.java
@@ -4,7 +4,7 @@
 import loadbalancer.policy.settings.PolicySettings;
 
 /** Creates and connects the components of one policy. Each component holds its own state. */
-final class PolicyParts {
+final class PolicyComponents {
   /** Counts traffic in sliding windows. */
   final TrafficStatistics traffic;
 
@@ -49,7 +49,7 @@
    *
    * @param random the policy's only source of randomness, shared by the components
    */
-  PolicyParts(PolicySettings settings, LatencyObjectives objectives, SplittableRandom random) {
+  PolicyComponents(PolicySettings settings, LatencyObjectives objectives, SplittableRandom random) {
     long windowNanos = objectives.statisticsWindowNanos();
     registry = new EndpointRegistry(settings, objectives, random);
     inFlightTime = new InFlightTime(objectives.shortestNanos() / 2.0);
--- a/src/main/java/loadbalancer/policy/RequestLifecycle.java
+++ b/src/main/java/loadbalancer/policy/RequestLifecycle.java
@@ -37,7 +37,7 @@
   private static final long MIN_SWEEP_DELAY_NANOS = 1_000_000L;
 
   private final PolicySettings settings;
-  private final PolicyParts components;
+  private final PolicyComponents components;
   private final SweepTimer sweepTimer;
   private final SplittableRandom random;
   private final long inFlightSweepPeriodNanos;
@@ -54,7 +54,7 @@
    */
   RequestLifecycle(
       PolicySettings settings,
-      PolicyParts components,
+      PolicyComponents components,
       SweepTimer sweepTimer,
       long shortestObjectiveNanos,
       SplittableRandom random) {
@@ -234,7 +234,7 @@
       if (pending.inFlight == 0) {
         pendingRequests.remove(completed.requestId());
       }
-    } else if (completed.requestFinished()) {
+    } else if (completed.requestCompleted()) {
       if (pending.inFlight > 0 && completed.attempt() > 0) {
         components.hedging.hedgeWon();
       }
--- a/src/main/java/loadbalancer/policy/event/AttemptCompleted.java
+++ b/src/main/java/loadbalancer/policy/event/AttemptCompleted.java
@@ -10,8 +10,8 @@
  * @param endpointId the identifier of the endpoint that the attempt was forwarded to
  * @param status the outcome of the attempt
  * @param latencyNanos the time since the attempt was forwarded
- * @param requestFinished whether the request is completed and needs no final response any more; the
- *     first {@link AttemptStatus#SERVED} attempt completes it without an action of the policy
+ * @param requestCompleted whether the request is completed and needs no final response any more;
+ *     the first {@link AttemptStatus#SERVED} attempt completes it without an action of the policy
  * @param loadReport the endpoint's load report; empty if it sent none
  * @param foundStaleConnection whether the attempt was reset on a pooled connection before any byte
  *     of a response arrived, which indicates a stale connection rather than a failing endpoint
@@ -22,7 +22,7 @@
     long endpointId,
     AttemptStatus status,
     long latencyNanos,
-    boolean requestFinished,
+    boolean requestCompleted,
     Map<String, Double> loadReport,
     boolean foundStaleConnection)
     implements Event {
@@ -35,8 +35,8 @@
       long endpointId,
       AttemptStatus status,
       long latencyNanos,
-      boolean requestFinished,
+      boolean requestCompleted,
       Map<String, Double> loadReport) {
-    this(requestId, attempt, endpointId, status, latencyNanos, requestFinished, loadReport, false);
+    this(requestId, attempt, endpointId, status, latencyNanos, requestCompleted, loadReport, false);
   }
 }
