--- a/src/main/java/loadbalancer/policy/RequestQueue.java
+++ b/src/main/java/loadbalancer/policy/RequestQueue.java
@@ -5,8 +5,8 @@
 import java.util.TreeSet;
 
 /**
- * The requests that wait for an endpoint with capacity, ordered by descending priority weight and
- * then by arrival. {@link RequestLifecycle} adds and removes them.
+ * The requests that wait for an endpoint with capacity, highest priority weight first and oldest
+ * first among equal weights. {@link RequestLifecycle} adds and removes them.
  */
 final class RequestQueue {
   /**
--- a/src/main/java/loadbalancer/policy/action/CancelAttempt.java
+++ b/src/main/java/loadbalancer/policy/action/CancelAttempt.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy.action;
 
 /**
- * Cancels an attempt. The endpoint may still complete the work on it.
+ * Cancels an attempt: the balancer stops waiting for it. The endpoint may still complete the work.
  *
  * @param requestId the identifier of the attempt's request
  * @param attempt the attempt's index, counted from 0 in forwarding order
--- a/src/main/java/loadbalancer/policy/event/AttemptStatus.java
+++ b/src/main/java/loadbalancer/policy/event/AttemptStatus.java
@@ -19,7 +19,7 @@
   /** The attempt was not started: the request was completed or had no attempts left. */
   NOT_SENT;
 
-  /** Returns whether this status proves that the endpoint did not and will not run the request. */
+  /** Returns whether this status proves that the endpoint never ran the request. */
   public boolean provesNotRun() {
     return this == REJECTED || this == CONNECT_FAILED || this == NOT_SENT;
   }
--- a/src/main/java/loadbalancer/policy/event/ResponseStarted.java
+++ b/src/main/java/loadbalancer/policy/event/ResponseStarted.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy.event;
 
 /**
- * A streamed response has started. From now on the request is bound to this attempt, and its
- * deadline no longer applies.
+ * A streamed response has started. From now on the request is bound to this attempt and has no
+ * deadline until the attempt completes.
  *
  * @param requestId the identifier of the request
  * @param attempt the attempt's index, counted from 0 in forwarding order
