--- a/src/main/java/loadbalancer/policy/RequestLifecycle.java
+++ b/src/main/java/loadbalancer/policy/RequestLifecycle.java
@@ -45,13 +45,7 @@
   private final Map<String, PendingRequest> pendingRequests = new LinkedHashMap<>();
   private final RequestQueue queue;
 
-  /**
-   * Creates a lifecycle without requests.
-   *
-   * @param sweepTimer schedules the sweeps that pending requests need
-   * @param shortestObjectiveNanos the shortest latency objective of all request classes
-   * @param random the policy's source of randomness
-   */
+  /** Creates a lifecycle without requests; {@code sweepTimer} schedules the sweeps it needs. */
   RequestLifecycle(
       PolicySettings settings,
       PolicyComponents components,
@@ -132,10 +126,7 @@
     complete(pending, actions);
   }
 
-  /**
-   * Completes a request and cancels its attempts in flight, where the deployment allows it. The
-   * request stays pending until those attempts have completed.
-   */
+  /** Completes a request and cancels its attempts in flight; it is pending until they complete. */
   private void complete(PendingRequest pending, Consumer<Action> actions) {
     String requestId = pending.request.requestId();
     pending.isCompleted = true;
@@ -207,10 +198,7 @@
     scheduleInFlightSweep(pending, nowNanos, actions);
   }
 
-  /**
-   * Records a completed attempt and completes, retries, rejects or fails its request. Then tries to
-   * forward queued requests.
-   */
+  /** Records a completed attempt, completes or retries its request and forwards queued ones. */
   void attemptCompleted(AttemptCompleted completed, long nowNanos, Consumer<Action> actions) {
     PendingRequest pending = pendingRequests.get(completed.requestId());
     if (pending == null || !pending.isInFlight(completed.attempt())) {
@@ -263,10 +251,7 @@
     sweepTimer.schedule(Math.max(nowNanos + MIN_SWEEP_DELAY_NANOS, nextNanos), actions);
   }
 
-  /**
-   * Returns when a request with an attempt in flight is rejected or failed: after its deadline, but
-   * early enough for a final response within the response slack.
-   */
+  /** Returns when a request in flight expires: after its deadline, within the response slack. */
   private long expiryNanos(PendingRequest pending) {
     return pending.request.deadlineNanos() + settings.serviceRules().responseSlackNanos() / 2;
   }
