--- a/src/main/java/loadbalancer/proxy/coordinator/ActionDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/ActionDispatcher.java
@@ -12,8 +12,8 @@
 import loadbalancer.proxy.telemetry.EventLog;
 
 /**
- * Has each of the policy's actions carried out by the class that is responsible for its kind. For
- * the event loop's thread only.
+ * Passes each action of the policy to the class that carries out actions of its type. Confined to
+ * the event loop thread.
  */
 final class ActionDispatcher implements Consumer<Action> {
 
@@ -23,12 +23,12 @@
   private final EndpointListHandler endpointLists;
 
   /**
-   * Makes a dispatcher.
+   * Creates a dispatcher.
    *
    * @param forwarder forwards and cancels attempts
    * @param completer rejects and fails requests
-   * @param timers sets timers
-   * @param endpointLists switches the watch of the endpoint list
+   * @param timers starts the policy's timers
+   * @param endpointLists starts and stops the watch of the endpoint list
    */
   ActionDispatcher(
       AttemptForwarder forwarder,
@@ -44,8 +44,9 @@
   /**
    * Carries out an action.
    *
-   * @throws PolicyDefectException if this proxy has no use for the kind of action: health checks,
-   *     peer messages, fetches of the list and closes of idle connections
+   * @throws PolicyDefectException if this proxy does not support the type of action: {@code
+   *     CheckHealth}, {@code SendPeerMessage}, {@code FetchEndpoints} or {@code
+   *     CloseIdleConnections}
    */
   @Override
   public void accept(Action action) {
@@ -60,7 +61,7 @@
     } else if (action instanceof SetTimer setTimer) {
       timers.set(setTimer);
     } else if (action instanceof WatchEndpoints watchEndpoints) {
-      endpointLists.switchWatch(watchEndpoints);
+      endpointLists.setWatchEnabled(watchEndpoints);
     } else if (action instanceof LogMessage logMessage) {
       EventLog.infoRateLimited("policy: " + logMessage.text());
     } else {
--- a/src/main/java/loadbalancer/proxy/coordinator/AttemptCompletionHandler.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/AttemptCompletionHandler.java
@@ -8,8 +8,8 @@
 import loadbalancer.proxy.upstream.UpstreamEndpoint;
 
 /**
- * Handles the outcome of an attempt: a served one is the request's response; the policy is notified
- * of all. For the event loop's thread only.
+ * Handles completed attempts: sends the response of a served attempt to the client, counts the
+ * attempt and notifies the policy of its outcome. Confined to the event loop thread.
  */
 final class AttemptCompletionHandler {
 
@@ -19,11 +19,11 @@
   private final PolicyEventQueue policyEvents;
 
   /**
-   * Makes a handler.
+   * Creates a handler.
    *
-   * @param tables the open requests and the endpoints
+   * @param tables the tables of open requests and endpoints
    * @param completer sends responses to clients
-   * @param statistics counts the attempts
+   * @param statistics measures and counts the attempts
    * @param policyEvents notifies the policy
    */
   AttemptCompletionHandler(
@@ -38,12 +38,12 @@
   }
 
   /**
-   * Handles a completed attempt.
+   * Handles a completed attempt; called once for each attempt that was started.
    *
    * @param request the attempt's request
    * @param endpoint the endpoint that the attempt was forwarded to
-   * @param attempt the attempt
-   * @param response the complete response, or null where none came
+   * @param attempt the completed attempt
+   * @param response the complete response; null if none was received
    */
   void attemptCompleted(
       OpenRequest request,
--- a/src/main/java/loadbalancer/proxy/coordinator/AttemptForwarder.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/AttemptForwarder.java
@@ -7,7 +7,7 @@
 import loadbalancer.proxy.upstream.UpstreamAttempt;
 import loadbalancer.proxy.upstream.UpstreamEndpoint;
 
-/** Starts and cancels attempts as the policy decides. For the event loop's thread only. */
+/** Starts and cancels attempts as the policy decides. Confined to the event loop thread. */
 final class AttemptForwarder {
 
   private final CoordinatorEnvironment environment;
@@ -16,12 +16,12 @@
   private final AttemptCompletionHandler completionHandler;
 
   /**
-   * Makes a forwarder.
+   * Creates a forwarder.
    *
    * @param environment the clock and the event loop
-   * @param tables the open requests and the endpoints
-   * @param rules checked right before an attempt's first byte
-   * @param completionHandler notified of each attempt's outcome
+   * @param tables the tables of open requests and endpoints
+   * @param rules checked immediately before an attempt's first byte is written
+   * @param completionHandler called when an attempt completes
    */
   AttemptForwarder(
       CoordinatorEnvironment environment,
@@ -35,16 +35,15 @@
   }
 
   /**
-   * Starts an attempt.
+   * Starts an attempt, which may complete before this method returns.
    *
-   * @throws PolicyDefectException if the request is not open or the endpoint not known
+   * @throws PolicyDefectException if the request is not open or the endpoint is unknown
    */
   void forward(ForwardAttempt action) {
     OpenRequest request = tables.requests().find(action.requestId());
     UpstreamEndpoint endpoint = tables.endpoints().find(action.endpointId());
     if (request == null || endpoint == null) {
-      throw new PolicyDefectException(
-          "forwarded an unknown request or to an unknown endpoint: " + action);
+      throw new PolicyDefectException("request not open or endpoint unknown: " + action);
     }
     UpstreamAttempt attempt =
         new UpstreamAttempt(
@@ -67,13 +66,16 @@
     return new AttemptPlan(
         index,
         action.endpointId(),
-        request.request(),
+        request.clientRequest(),
         nowNanos,
         timeoutNanos,
         () -> rules.mayStillForward(request, index, endpoint));
   }
 
-  /** Cancels an attempt; has no effect if it has completed or was never made. */
+  /**
+   * Cancels an attempt; has no effect if the attempt has completed or was never started, or if the
+   * request has finished.
+   */
   void cancel(CancelAttempt action) {
     OpenRequest request = tables.requests().find(action.requestId());
     if (request != null && action.attempt() < request.attemptCount()) {
--- a/src/main/java/loadbalancer/proxy/coordinator/AttemptStatistics.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/AttemptStatistics.java
@@ -10,7 +10,10 @@
 import loadbalancer.proxy.upstream.UpstreamAttempt;
 import loadbalancer.proxy.upstream.UpstreamEndpoint;
 
-/** Measures and counts completed attempts. For the event loop's thread only. */
+/**
+ * Measures the latency of completed attempts and adds them to the traffic counters. Confined to the
+ * event loop thread.
+ */
 final class AttemptStatistics {
 
   private final PolicySettings settings;
@@ -19,11 +22,11 @@
   private final TrafficCounters counters;
 
   /**
-   * Makes statistics.
+   * Creates statistics that add to the given counters.
    *
-   * @param settings the balancer's zone and the warm-up time of endpoints
-   * @param environment the clock and the event loop's lag
-   * @param counters counts the attempts
+   * @param settings give the balancer's zone and the warm-up time of endpoints
+   * @param environment provides the clock and the event loop's lag
+   * @param counters the counters of the current reporting interval
    */
   AttemptStatistics(
       PolicySettings settings, CoordinatorEnvironment environment, TrafficCounters counters) {
@@ -34,14 +37,15 @@
   }
 
   /**
-   * The latency of an attempt that completes now, without the time that its response waited unread
-   * in the socket.
+   * The latency in nanoseconds of an attempt that completes now. Excludes the mean time that
+   * received bytes wait unread in the socket, which is caused by the event loop's lag and not by
+   * the endpoint.
    */
   long latencyNanos(UpstreamAttempt attempt) {
     return attempt.latencyNanos(clock.nowNanos() - eventLoopLag.meanReadDelayNanos());
   }
 
-  /** Counts a completed attempt and the event loop's present lag. */
+  /** Counts a completed attempt and records the event loop's current lag. */
   void attemptCompleted(UpstreamAttempt attempt, UpstreamEndpoint endpoint, long latencyNanos) {
     counters.attemptCompleted(
         new CompletedAttempt(
@@ -55,8 +59,8 @@
   }
 
   private EndpointCategory categoryOf(EndpointDescriptor endpoint) {
-    long sinceStartNanos = clock.nowNanos() - endpoint.startedNanos();
-    if (sinceStartNanos < settings.serviceRules().warmUpNanos()) {
+    long uptimeNanos = clock.nowNanos() - endpoint.startedNanos();
+    if (uptimeNanos < settings.serviceRules().warmUpNanos()) {
       return EndpointCategory.WARMING_UP;
     }
     return endpoint.zone().equals(settings.zone())
--- a/src/main/java/loadbalancer/proxy/coordinator/CoordinatorEnvironment.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/CoordinatorEnvironment.java
@@ -6,12 +6,12 @@
 import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
 /**
- * What a {@link RequestCoordinator} runs on.
+ * The event loop, clock and connections that a {@link RequestCoordinator} uses.
  *
- * @param eventLoop the thread that all state of the proxy belongs to; also runs the timers
- * @param clock the balancer's clock, which the policy's events and timers are given in
- * @param eventLoopLag how far the event loop is behind
- * @param connectionPools opens and keeps the connections to upstreams
+ * @param eventLoop its thread owns all state of the proxy; also runs the timers
+ * @param clock the balancer's clock; the times in policy events and timers are readings of it
+ * @param eventLoopLag measures how far the event loop is behind schedule
+ * @param connectionPools opens and pools the connections to upstreams
  */
 public record CoordinatorEnvironment(
     EventLoop eventLoop,
--- a/src/main/java/loadbalancer/proxy/coordinator/DownstreamClient.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/DownstreamClient.java
@@ -3,27 +3,28 @@
 import loadbalancer.proxy.http.UpstreamResponse;
 
 /**
- * The client that waits for a request's final response. Called on the event loop; at most one of
- * the methods that send is called, once.
+ * A client that waits for the final response to its request. Called on the event loop thread. At
+ * most one of the send methods is called, and only once.
  */
 public interface DownstreamClient {
 
   /**
-   * Whether the client still waits. Asks the socket, since the event loop may not have read the
-   * client's close yet.
+   * Whether the client is still connected. Checks the socket itself, since the event loop may not
+   * have read the client's close yet.
    */
   boolean isConnected();
 
-  /** Sends an upstream's response. */
+  /** Sends the response that an upstream returned. */
   void sendResponse(UpstreamResponse response);
 
   /**
-   * Sends a rejection, which promises that the client may safely send the request again.
+   * Sends a rejection, which tells the client that it may safely retry the request.
    *
-   * @param retryAfterNanos how long the client should wait before that; 0 for no advice
+   * @param retryAfterNanos how long the client should wait before it retries, in nanoseconds; 0
+   *     gives no advice
    */
   void sendRejection(long retryAfterNanos);
 
-  /** Sends a failure, with no promise of whether the request ran. */
+  /** Sends a failure, which does not tell whether an upstream ran the request. */
   void sendFailure();
 }
--- a/src/main/java/loadbalancer/proxy/coordinator/EndpointListHandler.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/EndpointListHandler.java
@@ -8,8 +8,8 @@
 import loadbalancer.proxy.upstream.EndpointTable;
 
 /**
- * Applies updates of the endpoint list to the endpoint table, notifies the policy of them and
- * switches the watch as the policy decides. All state belongs to the event loop.
+ * Applies updates of the endpoint list to the endpoint table, notifies the policy of them, and
+ * starts and stops the watch as the policy decides. Confined to the event loop thread.
  */
 final class EndpointListHandler {
 
@@ -18,9 +18,10 @@
   private EndpointWatch watch = isEnabled -> {};
 
   /**
-   * Makes a handler whose watch has no effect until {@link #start}.
+   * Creates a handler. Until {@link #start} is called, starting or stopping the watch has no
+   * effect.
    *
-   * @param endpoints the table to keep up to date
+   * @param endpoints the table that updates are applied to
    * @param policyEvents notifies the policy
    */
   EndpointListHandler(EndpointTable endpoints, PolicyEventQueue policyEvents) {
@@ -29,18 +30,21 @@
   }
 
   /**
-   * Starts with the list as last known.
+   * Loads the last known endpoint list and notifies the policy of it.
    *
-   * @param known the full list, possibly out of date
-   * @param endpointWatch switches the watch of the list from now on
+   * @param cachedList the full list, possibly out of date
+   * @param endpointWatch starts and stops the watch of the list from now on
    */
-  void start(EndpointList known, EndpointWatch endpointWatch) {
+  void start(EndpointList cachedList, EndpointWatch endpointWatch) {
     watch = endpointWatch;
-    endpoints.applyFullList(known.endpoints());
-    notifyPolicy(EndpointListUpdate.Kind.CACHED, known);
+    endpoints.applyFullList(cachedList.endpoints());
+    notifyPolicy(EndpointListUpdate.Kind.CACHED, cachedList);
   }
 
-  /** Applies a full list or the changes since the last update. */
+  /**
+   * Applies an update, which holds the full list or only the entries that changed, and notifies the
+   * policy.
+   */
   void update(EndpointList list) {
     if (list.full()) {
       endpoints.applyFullList(list.endpoints());
@@ -51,13 +55,13 @@
     }
   }
 
-  /** Notifies the policy that the watch failed; the table stays as it is. */
+  /** Notifies the policy that the watch failed; the table keeps its endpoints. */
   void watchFailed() {
     policyEvents.notifyPolicy(new EndpointListUpdate(EndpointListUpdate.Kind.FAILED, List.of()));
   }
 
-  /** Starts or ends the watch. */
-  void switchWatch(WatchEndpoints action) {
+  /** Starts or stops the watch. */
+  void setWatchEnabled(WatchEndpoints action) {
     watch.setEnabled(action.enabled());
   }
 
--- a/src/main/java/loadbalancer/proxy/coordinator/EndpointWatch.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/EndpointWatch.java
@@ -1,11 +1,11 @@
 package loadbalancer.proxy.coordinator;
 
-/** Switches the watch of the endpoint list; called on the event loop. */
+/** Starts and stops the watch of the endpoint list. Called on the event loop thread. */
 @FunctionalInterface
 public interface EndpointWatch {
 
   /**
-   * Starts or ends the watch.
+   * Starts or stops the watch.
    *
    * @param isEnabled whether the list is to be watched
    */
--- a/src/main/java/loadbalancer/proxy/coordinator/ForwardingRules.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/ForwardingRules.java
@@ -4,8 +4,9 @@
 import loadbalancer.proxy.upstream.UpstreamEndpoint;
 
 /**
- * The rules that are checked right before an attempt's first byte is written, which may be a
- * connect later than the policy's decision. All state belongs to the event loop.
+ * Checks whether an attempt may still be forwarded, immediately before its first byte is written.
+ * If the attempt had to open a connection, the state may have changed since the policy decided to
+ * forward it. Confined to the event loop thread.
  */
 final class ForwardingRules {
 
@@ -14,10 +15,10 @@
   private final EpochClock clock;
 
   /**
-   * Makes the rules.
+   * Creates the rules.
    *
-   * @param maxAttempts the most attempts of one request
-   * @param completer completes a request whose client is found disconnected
+   * @param maxAttempts the maximum number of attempts for one request
+   * @param completer completes a request whose client has disconnected
    * @param clock the balancer's clock
    */
   ForwardingRules(int maxAttempts, RequestCompleter completer, EpochClock clock) {
@@ -27,10 +28,11 @@
   }
 
   /**
-   * Whether an attempt may still be forwarded: the request is open and its client connected, the
-   * endpoint is not draining, and the request cannot run twice by it.
+   * Whether an attempt may still be forwarded: the request has attempts left and no final response,
+   * its client is connected, the endpoint is not draining, and the attempt cannot make the request
+   * run twice. Completes the request if its client has disconnected.
    *
-   * @param request the request
+   * @param request the attempt's request
    * @param attemptIndex the attempt's index, counted from 0 in forwarding order
    * @param endpoint the endpoint that the attempt is forwarded to
    */
@@ -43,6 +45,6 @@
     }
     return !request.isCompleted()
         && !endpoint.isDraining()
-        && request.isRepeatHarmless(clock.nowNanos());
+        && request.isSafeToForward(clock.nowNanos());
   }
 }
--- a/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
@@ -10,12 +10,12 @@
 import loadbalancer.proxy.upstream.UpstreamAttempt;
 
 /**
- * A client's request until it has its final response and none of its attempts is in flight.
- * Completed by {@link OpenRequestTable} only; its state belongs to the event loop.
+ * A client's request, from its arrival until it is completed and none of its attempts is in flight.
+ * Only {@link OpenRequestTable} completes it. Confined to the event loop thread.
  */
 final class OpenRequest {
 
-  private final ClientRequest request;
+  private final ClientRequest clientRequest;
   private final DownstreamClient client;
   private final long deadlineNanos;
   private final List<UpstreamAttempt> attempts = new ArrayList<>(1);
@@ -23,64 +23,71 @@
   private boolean isCompleted;
 
   /**
-   * Makes a request that has no response and no attempt yet.
+   * Creates a request without attempts.
    *
-   * @param request what the client sent
-   * @param client who waits for the response
-   * @param deadlineNanos when the policy must have decided on the response, on the balancer's clock
+   * @param clientRequest the request as received from the client
+   * @param client receives the final response
+   * @param deadlineNanos when the policy must have decided on the final response, in nanoseconds on
+   *     the balancer's clock
    */
-  OpenRequest(ClientRequest request, DownstreamClient client, long deadlineNanos) {
-    this.request = request;
+  OpenRequest(ClientRequest clientRequest, DownstreamClient client, long deadlineNanos) {
+    this.clientRequest = clientRequest;
     this.client = client;
     this.deadlineNanos = deadlineNanos;
   }
 
-  /** The request's identifier. */
+  /** The request identifier, unique among the open requests. */
   String id() {
-    return request.requestId();
+    return clientRequest.requestId();
   }
 
-  /** What the client sent. */
-  ClientRequest request() {
-    return request;
+  /** The request as received from the client. */
+  ClientRequest clientRequest() {
+    return clientRequest;
   }
 
-  /** Who waits for the response. */
+  /** The client that receives the final response. */
   DownstreamClient client() {
     return client;
   }
 
-  /** When the policy must have decided on the response, on the balancer's clock. */
+  /**
+   * When the policy must have decided on the final response, in nanoseconds on the balancer's
+   * clock.
+   */
   long deadlineNanos() {
     return deadlineNanos;
   }
 
-  /** The number of attempts made so far. */
+  /** The number of attempts started so far. */
   int attemptCount() {
     return attempts.size();
   }
 
-  /** The attempt with this index, which is below {@link #attemptCount}. */
+  /** The attempt with this index, counted from 0; must be below {@link #attemptCount}. */
   UpstreamAttempt attempt(int index) {
     return attempts.get(index);
   }
 
-  /** Adds an attempt, whose index is the number of those before it. */
+  /** Adds an attempt. Its index is the number of attempts added before it. */
   void addAttempt(UpstreamAttempt attempt) {
     attempts.add(attempt);
   }
 
-  /** Sets the timer that is cancelled once the request is completed. */
+  /** Sets the timer that is cancelled when the request completes; must be set before then. */
   void setDeadlineTimer(ScheduledFuture<?> timer) {
     deadlineTimer = timer;
   }
 
-  /** Whether the final response was sent, or the client disconnected. */
+  /** Whether the client has been sent the final response or has disconnected. */
   boolean isCompleted() {
     return isCompleted;
   }
 
-  /** Marks the request as completed and cancels its deadline timer; false if it was before. */
+  /**
+   * Marks the request as completed and cancels its deadline timer. Returns false, without effect,
+   * if it was completed before.
+   */
   boolean complete() {
     if (isCompleted) {
       return false;
@@ -95,9 +102,12 @@
     return isCompleted && attempts.stream().noneMatch(UpstreamAttempt::isInFlight);
   }
 
-  /** Whether a rejection's promise would be true: that it is safe to send the request again. */
-  boolean mayBeRejected() {
-    RequestClass requestClass = request.requestClass();
+  /**
+   * Whether the client may safely retry the request, as a rejection states: the request is
+   * idempotent, all endpoints drop a repeat of it, or no attempt may have run.
+   */
+  boolean isSafeForClientRetry() {
+    RequestClass requestClass = clientRequest.requestClass();
     boolean isDeduplicatedEverywhere =
         requestClass.effect() == RequestEffect.IDEMPOTENT_WITH_KEY
             && requestClass.deduplicationScope() == DeduplicationScope.ALL;
@@ -107,13 +117,14 @@
   }
 
   /**
-   * Whether another attempt could not make the request run twice: every earlier attempt that may
-   * have run is within the time in which upstreams drop a repeat.
+   * Whether one more attempt cannot make the request run twice: the request is idempotent, or every
+   * earlier attempt that may have run is recent enough for upstreams to drop a repeat by its
+   * idempotency key.
    *
-   * @param nowNanos the time, on the balancer's clock
+   * @param nowNanos the current time, on the balancer's clock
    */
-  boolean isRepeatHarmless(long nowNanos) {
-    RequestClass requestClass = request.requestClass();
+  boolean isSafeToForward(long nowNanos) {
+    RequestClass requestClass = clientRequest.requestClass();
     if (requestClass.effect() == RequestEffect.IDEMPOTENT) {
       return true;
     }
--- a/src/main/java/loadbalancer/proxy/coordinator/OpenRequestTable.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/OpenRequestTable.java
@@ -10,26 +10,29 @@
 import java.util.function.Consumer;
 
 /**
- * The open requests by their identifiers, each with its deadline timer. All state belongs to the
- * event loop.
+ * The open requests by identifier, each with a deadline timer. A request stays in the table until
+ * it is completed and none of its attempts is in flight. Confined to the event loop thread.
  */
 final class OpenRequestTable {
 
-  /** How long after a request's deadline the policy may still decide on the response. */
+  /**
+   * Delay in nanoseconds from a request's deadline to its timer, in which the policy may still
+   * decide.
+   */
   private static final long DEADLINE_GRACE_NANOS = 20_000_000L;
 
   private final EventLoop eventLoop;
   private final Consumer<OpenRequest> deadlineListener;
   private final Map<String, OpenRequest> requests = new HashMap<>();
 
-  /** Requests that may have finished since the last removal. */
+  /** Requests that may have finished since the last call of {@link #removeFinished}. */
   private final List<OpenRequest> removalCandidates = new ArrayList<>();
 
   /**
-   * Makes an empty table.
+   * Creates an empty table.
    *
    * @param eventLoop runs the deadline timers
-   * @param deadlineListener called when a deadline timer fires
+   * @param deadlineListener called on the event loop when a request's deadline timer fires
    */
   OpenRequestTable(EventLoop eventLoop, Consumer<OpenRequest> deadlineListener) {
     this.eventLoop = eventLoop;
@@ -37,10 +40,11 @@
   }
 
   /**
-   * Adds a request and starts its deadline timer; false if a request with its identifier is open.
+   * Adds a request and starts its deadline timer. Returns false, without effect, if a request with
+   * the same identifier is open.
    *
    * @param request the request
-   * @param timeLeftNanos the time to the request's deadline
+   * @param timeLeftNanos the time from now to the request's deadline
    */
   boolean add(OpenRequest request, long timeLeftNanos) {
     if (requests.putIfAbsent(request.id(), request) != null) {
@@ -56,11 +60,11 @@
   }
 
   /**
-   * Starts another deadline timer for each request whose deadline is later than allowed. It is not
-   * cancelled: firing for a completed request has no effect.
+   * Starts a second deadline timer for each request whose deadline is later than allowed. This
+   * timer is never cancelled, since it has no effect on a completed request.
    *
-   * @param latestDeadlineNanos the latest deadline allowed, on the balancer's clock
-   * @param remainingNanos the time until then
+   * @param latestDeadlineNanos the latest allowed deadline, on the balancer's clock
+   * @param remainingNanos the time from now to the latest allowed deadline
    */
   void capDeadlines(long latestDeadlineNanos, long remainingNanos) {
     for (OpenRequest request : requests.values()) {
@@ -70,12 +74,12 @@
     }
   }
 
-  /** The request with this identifier; null where none is open. */
+  /** The open request with this identifier; null if there is none. */
   OpenRequest find(String requestId) {
     return requests.get(requestId);
   }
 
-  /** The requests that are open now. */
+  /** A copy of the open requests, which later changes of the table do not affect. */
   List<OpenRequest> snapshot() {
     return List.copyOf(requests.values());
   }
@@ -86,8 +90,8 @@
   }
 
   /**
-   * Completes a request. True once for each request: the caller then owes the client the only final
-   * response.
+   * Completes a request. Returns true the first time only: the caller must then send the final
+   * response, unless the client has disconnected.
    */
   boolean complete(OpenRequest request) {
     if (!request.complete()) {
@@ -97,7 +101,7 @@
     return true;
   }
 
-  /** Records that one of the request's attempts completed, so that it may have finished. */
+  /** Records that an attempt of the request has completed, which may have finished the request. */
   void attemptCompleted(OpenRequest request) {
     removalCandidates.add(request);
   }
--- a/src/main/java/loadbalancer/proxy/coordinator/PolicyEventQueue.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/PolicyEventQueue.java
@@ -7,35 +7,37 @@
 import loadbalancer.policy.event.RequestArrived;
 
 /**
- * Hands events to the policy one at a time: an action may cause an event at once, which waits until
- * the present one has been handled. All state belongs to the event loop.
+ * Passes events to the policy one at a time. Carrying out an action may raise another event
+ * immediately; it is queued until the current event has been handled, so that the policy is never
+ * called from within its own call. Confined to the event loop thread.
  */
 final class PolicyEventQueue {
 
   private final Consumer<Event> eventHandler;
-  private final Runnable afterEvents;
+  private final Runnable queueEmptyCallback;
   private final Consumer<RuntimeException> defectHandler;
   private final Queue<Event> pendingEvents = new ArrayDeque<>();
   private boolean isHandlingEvents;
-  private boolean isLatestEventAnArrival;
+  private boolean isLatestEventArrival;
 
   /**
-   * Makes an empty queue.
+   * Creates an empty queue.
    *
-   * @param eventHandler has the policy handle an event and carries out its actions
-   * @param afterEvents called when no event is left
-   * @param defectHandler called with an exception of the handler; later events are still handled
+   * @param eventHandler passes an event to the policy, which hands over its actions
+   * @param queueEmptyCallback called each time all queued events have been handled
+   * @param defectHandler called with an exception from one of the other two; events that are queued
+   *     then are handled with the next notification
    */
   PolicyEventQueue(
       Consumer<Event> eventHandler,
-      Runnable afterEvents,
+      Runnable queueEmptyCallback,
       Consumer<RuntimeException> defectHandler) {
     this.eventHandler = eventHandler;
-    this.afterEvents = afterEvents;
+    this.queueEmptyCallback = queueEmptyCallback;
     this.defectHandler = defectHandler;
   }
 
-  /** Notifies the policy of an event, after those that are waiting. */
+  /** Notifies the policy of an event, after the events that are queued already. */
   void notifyPolicy(Event event) {
     pendingEvents.add(event);
     if (isHandlingEvents) {
@@ -44,7 +46,7 @@
     isHandlingEvents = true;
     try {
       handlePendingEvents();
-      afterEvents.run();
+      queueEmptyCallback.run();
     } catch (RuntimeException e) {
       defectHandler.accept(e);
     } finally {
@@ -55,14 +57,16 @@
   private void handlePendingEvents() {
     Event event = pendingEvents.poll();
     while (event != null) {
-      isLatestEventAnArrival = event instanceof RequestArrived;
+      isLatestEventArrival = event instanceof RequestArrived;
       eventHandler.accept(event);
       event = pendingEvents.poll();
     }
   }
 
-  /** Whether the event that is being handled, or was handled last, is a request's arrival. */
-  boolean isLatestEventAnArrival() {
-    return isLatestEventAnArrival;
+  /**
+   * Whether the event being handled, or else the event handled last, is the arrival of a request.
+   */
+  boolean isLatestEventArrival() {
+    return isLatestEventArrival;
   }
 }
--- a/src/main/java/loadbalancer/proxy/coordinator/PolicyTimers.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/PolicyTimers.java
@@ -4,24 +4,24 @@
 import loadbalancer.policy.action.SetTimer;
 import loadbalancer.policy.event.TimerFired;
 
-/** The timers that the policy sets. For the event loop's thread only. */
+/** Runs the timers that the policy sets. Confined to the event loop thread. */
 final class PolicyTimers {
 
   private final CoordinatorEnvironment environment;
   private final PolicyEventQueue policyEvents;
 
   /**
-   * Makes timers.
+   * Creates the timers.
    *
    * @param environment the clock and the event loop
-   * @param policyEvents notifies the policy of a timer that fired
+   * @param policyEvents notifies the policy when a timer fires
    */
   PolicyTimers(CoordinatorEnvironment environment, PolicyEventQueue policyEvents) {
     this.environment = environment;
     this.policyEvents = policyEvents;
   }
 
-  /** Starts a timer; one that is due already fires after the present event was handled. */
+  /** Starts a timer. One that is already due fires after the current event has been handled. */
   void set(SetTimer action) {
     long delayNanos = action.fireAtNanos() - environment.clock().nowNanos();
     environment
--- a/src/main/java/loadbalancer/proxy/coordinator/RequestCompleter.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/RequestCompleter.java
@@ -7,9 +7,9 @@
 import loadbalancer.proxy.telemetry.TrafficCounters;
 
 /**
- * Completes requests: each gets at most one final response. Counts rejections, failures and
- * disconnects; served attempts are counted by {@link AttemptStatistics}. All state belongs to the
- * event loop.
+ * Completes requests and sends each at most one final response. Counts rejections, failures and
+ * client disconnects; {@link AttemptStatistics} counts served attempts. Confined to the event loop
+ * thread.
  */
 final class RequestCompleter {
 
@@ -18,11 +18,11 @@
   private final TrafficCounters counters;
 
   /**
-   * Makes a completer.
+   * Creates a completer.
    *
    * @param requests the open requests
-   * @param policyEvents tells which event is being handled
-   * @param counters counts the responses
+   * @param policyEvents tells whether the arrival of a request is being handled
+   * @param counters counts the completed requests that were not served
    */
   RequestCompleter(
       OpenRequestTable requests, PolicyEventQueue policyEvents, TrafficCounters counters) {
@@ -31,7 +31,7 @@
     this.counters = counters;
   }
 
-  /** Sends the rejection that the policy decided on, unless the request is completed. */
+  /** Sends the rejection that the policy decided on; has no effect on a completed request. */
   void reject(RejectRequest action) {
     OpenRequest request = requests.find(action.requestId());
     if (request != null && requests.complete(request)) {
@@ -39,7 +39,7 @@
     }
   }
 
-  /** Sends the failure that the policy decided on, unless the request is completed. */
+  /** Sends the failure that the policy decided on; has no effect on a completed request. */
   void fail(FailRequest action) {
     OpenRequest request = requests.find(action.requestId());
     if (request != null && requests.complete(request)) {
@@ -47,14 +47,16 @@
     }
   }
 
-  /** Sends an upstream's response, unless the request is completed. */
+  /** Sends an upstream's response to the client; has no effect on a completed request. */
   void serve(OpenRequest request, UpstreamResponse response) {
     if (requests.complete(request)) {
       request.client().sendResponse(response);
     }
   }
 
-  /** Completes a request whose client disconnected; false if it was completed before. */
+  /**
+   * Completes a request whose client has disconnected. Returns false if it was completed before.
+   */
   boolean completeDisconnected(OpenRequest request) {
     if (!requests.complete(request)) {
       return false;
@@ -64,8 +66,8 @@
   }
 
   /**
-   * Completes a request that the policy has not decided on in time; false if it was completed
-   * before.
+   * Completes a request that has no final response at its deadline. Returns false if it was
+   * completed before.
    */
   boolean completeAtDeadline(OpenRequest request) {
     if (!requests.complete(request)) {
@@ -73,21 +75,21 @@
     }
     EventLog.warnRateLimited(
         "coordinator: deadline reached without a policy decision request=" + request.id());
-    sendWithoutPolicy(request);
+    respondWithoutPolicy(request);
     return true;
   }
 
-  /** Completes all open requests without the policy. */
+  /** Completes all open requests without asking the policy. */
   void completeAll() {
     for (OpenRequest request : requests.snapshot()) {
       if (requests.complete(request)) {
-        sendWithoutPolicy(request);
+        respondWithoutPolicy(request);
       }
     }
   }
 
-  private void sendWithoutPolicy(OpenRequest request) {
-    if (request.mayBeRejected()) {
+  private void respondWithoutPolicy(OpenRequest request) {
+    if (request.isSafeForClientRetry()) {
       sendRejection(request, 0);
     } else {
       sendFailure(request);
@@ -95,7 +97,7 @@
   }
 
   private void sendRejection(OpenRequest request, long retryAfterNanos) {
-    if (request.attemptCount() == 0 && policyEvents.isLatestEventAnArrival()) {
+    if (request.attemptCount() == 0 && policyEvents.isLatestEventArrival()) {
       counters.requestRejectedOnArrival();
     } else {
       counters.requestRejectedLater();
--- a/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
@@ -14,9 +14,9 @@
 import loadbalancer.proxy.upstream.EndpointTable;
 
 /**
- * Keeps the life of every request between its client and the policy: notifies the policy of what
- * happens on the sockets and has its actions carried out. All state belongs to the event loop, and
- * all methods but the constructor are called there.
+ * Coordinates clients, the policy and upstreams: tracks every open request, notifies the policy of
+ * events on the sockets and carries out the actions that the policy returns. All methods must be
+ * called on the event loop thread; the constructor may be called on any thread.
  */
 public final class RequestCoordinator {
 
@@ -32,13 +32,14 @@
   private final ActionDispatcher actions;
 
   /**
-   * Makes a coordinator without requests or endpoints.
+   * Creates a coordinator without requests or endpoints.
    *
-   * @param settings what the policy's settings say of attempts and endpoints
-   * @param policy decides on the requests
-   * @param environment what the coordinator runs on
-   * @param defectHandler called when the policy, or the carrying out of its actions, throws: its
-   *     decisions are of no use any more
+   * @param settings the policy's settings, of which the coordinator uses the maximum number of
+   *     attempts, the zone and the warm-up time
+   * @param policy decides how each request is handled
+   * @param environment the event loop, the clock and the connection pools
+   * @param defectHandler called when the policy throws an exception or one of its actions cannot be
+   *     carried out; the policy's decisions are unreliable from then on
    */
   public RequestCoordinator(
       PolicySettings settings,
@@ -65,18 +66,18 @@
   }
 
   /**
-   * Starts with the endpoint list as last known.
+   * Loads the last known endpoint list; to be called once, before the first request.
    *
-   * @param known the full list, possibly out of date
-   * @param endpointWatch switches the watch of the list from now on
+   * @param cachedList the full list, possibly out of date
+   * @param endpointWatch starts and stops the watch of the list from now on
    */
-  public void start(EndpointList known, EndpointWatch endpointWatch) {
-    endpointLists.start(known, endpointWatch);
+  public void start(EndpointList cachedList, EndpointWatch endpointWatch) {
+    endpointLists.start(cachedList, endpointWatch);
   }
 
   /**
-   * Accepts a client's request, which gets at most one final response; false if a request with the
-   * same identifier is open, which the new one must not replace.
+   * Accepts a client's request, which is sent at most one final response. Returns false if a
+   * request with the same identifier is open, since the new request must not replace it.
    */
   public boolean accept(ClientRequest request, DownstreamClient client) {
     long nowNanos = clock.nowNanos();
@@ -98,7 +99,10 @@
     return true;
   }
 
-  /** Completes a request whose client disconnected; has no effect on a completed one. */
+  /**
+   * Completes a request whose client has disconnected; has no effect on a completed or unknown
+   * request.
+   */
   public void clientDisconnected(String requestId) {
     OpenRequest request = requests.find(requestId);
     if (request != null && completer.completeDisconnected(request)) {
@@ -106,7 +110,7 @@
     }
   }
 
-  /** Applies an update of the endpoint list. */
+  /** Applies an update of the endpoint list: a full list or only the entries that changed. */
   public void updateEndpoints(EndpointList update) {
     endpointLists.update(update);
   }
@@ -117,10 +121,10 @@
   }
 
   /**
-   * Caps the deadline of every request that is open or accepted from now on, for a process that is
-   * about to end.
+   * Caps the deadlines of the requests that are open now or accepted later, for a process that
+   * shuts down gracefully.
    *
-   * @param remainingNanos how long from now the latest deadline is
+   * @param remainingNanos the time from now to the latest allowed deadline
    */
   public void capDeadlines(long remainingNanos) {
     long latestDeadlineNanos = clock.nowNanos() + remainingNanos;
@@ -128,12 +132,15 @@
     requests.capDeadlines(latestDeadlineNanos, remainingNanos);
   }
 
-  /** Completes all open requests without the policy, for a process that ends at once. */
+  /** Completes all open requests without asking the policy, for a process that ends immediately. */
   public void completeAllRequests() {
     completer.completeAll();
   }
 
-  /** Logs the counters of the time since the last call, unless nothing happened. */
+  /**
+   * Logs the traffic counters of the interval since the last call, unless no request was received
+   * and no attempt completed in it.
+   */
   public void logStatistics() {
     trafficReporter.logInterval(requests.size());
   }
@@ -142,7 +149,10 @@
     policy.handle(clock.nowNanos(), event, actions);
   }
 
-  /** The policy left the request without a response until its client's time was nearly up. */
+  /**
+   * Completes a request that has no final response when its deadline timer fires. The policy is
+   * notified as if the client had disconnected.
+   */
   private void deadlineReached(OpenRequest request) {
     if (completer.completeAtDeadline(request)) {
       policyEvents.notifyPolicy(new ClientDisconnected(request.id()));
--- a/src/main/java/loadbalancer/proxy/coordinator/package-info.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The life of a request: the table of open requests, the events that the policy is notified of and
- * the carrying out of its actions. All state belongs to the event loop.
+ * Request coordination: the table of open requests, the events that the policy is notified of, and
+ * the classes that carry out its actions. All state is confined to the event loop thread.
  */
 package loadbalancer.proxy.coordinator;
