--- a/src/test/java/loadbalancer/proxy/coordinator/AttemptForwardingTest.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/AttemptForwardingTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which attempts still reach their upstream, and what the policy is notified of each. */
+/** Tests which attempts are forwarded to their upstream and how the policy is notified of them. */
 class AttemptForwardingTest {
 
   private final TestCoordinator coordinator = new TestCoordinator();
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void latencyExcludesAPauseOfTheEventLoop() throws Exception {
+  void latencyExcludesEventLoopPause() throws Exception {
     long pauseNanos = 2_000_000_000L;
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       coordinator.start(TestCoordinator::forwardOnArrival, upstream);
@@ -52,7 +52,7 @@
       long latencyNanos = coordinator.nextCompletedAttempt().latencyNanos();
       assertTrue(
           latencyNanos < pauseNanos * 3 / 4,
-          "responded at once, read " + pauseNanos + " ns later: " + latencyNanos);
+          "response read after a pause of " + pauseNanos + " ns, latency in ns: " + latencyNanos);
     }
   }
 
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void resetIsOfAStaleConnectionOnlyOnAPooledOne() throws Exception {
+  void onlyResetOfPooledConnectionCountsAsStale() throws Exception {
     AtomicBoolean resetsConnections = new AtomicBoolean();
     try (FakeHttpServer upstream =
         new FakeHttpServer(
@@ -81,16 +81,16 @@
       assertFalse(coordinator.nextCompletedAttempt().foundStaleConnection());
       resetsConnections.set(true);
       coordinator.accept("2", "look", 15_000);
-      assertTrue(coordinator.nextCompletedAttempt().foundStaleConnection(), "pooled");
+      assertTrue(coordinator.nextCompletedAttempt().foundStaleConnection(), "pooled connection");
       coordinator.accept("3", "look", 15_000);
       AttemptCompleted onNewConnection = coordinator.nextCompletedAttempt();
       assertEquals(AttemptStatus.RESET, onNewConnection.status());
-      assertFalse(onNewConnection.foundStaleConnection(), "new");
+      assertFalse(onNewConnection.foundStaleConnection(), "new connection");
     }
   }
 
   @Test
-  void requestOfAClientFoundDisconnectedIsCompletedAndNotForwarded() throws Exception {
+  void requestOfDisconnectedClientIsCompletedWithoutForwarding() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       coordinator.start(TestCoordinator::forwardOnArrival, upstream);
       coordinator.setClientConnected(false);
@@ -105,11 +105,12 @@
     }
   }
 
-  /** Needs no cancellation by the policy, which the settings may not allow. */
+  /**
+   * Holds even if the policy does not cancel the attempt, since the settings may not allow it to.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void requestWhoseClientDisconnectsDuringTheConnectIsNotForwarded(boolean isCancelled)
-      throws Exception {
+  void requestIsNotForwardedIfClientDisconnectsDuringConnect(boolean isCancelled) throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       coordinator.start(
           (event, actions) -> {
@@ -131,9 +132,12 @@
     }
   }
 
-  /** An upstream that reads nothing for a while must not run a cancelled request later. */
+  /**
+   * The unsent bytes must never be sent: an upstream that reads nothing for a while would otherwise
+   * run the cancelled request later.
+   */
   @Test
-  void unsentRestOfACancelledRequestNeverArrives() throws Exception {
+  void unsentBytesOfCancelledRequestNeverArrive() throws Exception {
     try (ServerSocket upstream = new ServerSocket()) {
       upstream.setReceiveBufferSize(4_096);
       upstream.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -154,19 +158,18 @@
         try {
           receivedBytes += input.readAllBytes().length;
         } catch (IOException e) {
-          // A reset: the rest is lost, as it has to be.
+          // Expected: the connection is reset, so that the unsent bytes never arrive.
         }
         assertTrue(
-            receivedBytes < UpstreamResponse.MAX_BODY_BYTES,
-            "bytes that arrived: " + receivedBytes);
+            receivedBytes < UpstreamResponse.MAX_BODY_BYTES, "received bytes: " + receivedBytes);
       }
     }
   }
 
-  /** For any drain grace; without one, an endpoint that is ready still gets its requests. */
+  /** Holds for any drain grace. A grace of 0 must not keep requests from a ready endpoint. */
   @ParameterizedTest
   @ValueSource(longs = {0, 100_000_000, 2_000_000_000})
-  void drainingEndpointGetsNoRequestAndThePolicyIsNotCalledWhileHandling(long drainGraceNanos)
+  void drainingEndpointReceivesNoRequestAndPolicyIsNotReentered(long drainGraceNanos)
       throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       coordinator.setDrainGraceNanos(drainGraceNanos);
@@ -175,20 +178,21 @@
       assertEquals(
           AttemptStatus.SERVED,
           coordinator.nextCompletedAttempt().status(),
-          "an idle connection makes the next attempt complete at once");
+          "precondition: on an idle connection, the next attempt completes within the policy's"
+              + " call");
       coordinator.onLoop(
           () -> coordinator.updateEndpoint(upstream.address(), EndpointStatus.DRAINING));
       coordinator.accept("2", "look", 15_000);
       assertEquals(AttemptStatus.NOT_SENT, coordinator.nextCompletedAttempt().status());
       assertEquals(1, upstream.requests.size());
-      assertFalse(coordinator.wasPolicyCalledWhileHandling());
+      assertFalse(coordinator.wasPolicyReentered());
       assertTrue(coordinator.events.stream().noneMatch(e -> e instanceof EndpointListUpdate));
     }
   }
 
-  /** The connect may take longer than the drain grace. */
+  /** A connect may take longer than the drain grace. */
   @Test
-  void endpointThatDrainsDuringTheConnectGetsNoRequest() throws Exception {
+  void endpointThatStartsDrainingDuringConnectReceivesNoRequest() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       coordinator.start(TestCoordinator::forwardOnArrival, upstream);
       coordinator.accept(
@@ -201,15 +205,15 @@
     }
   }
 
-  /** Its connection is closed afterwards. */
+  /** The connection must be closed after the response. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void removedEndpointStillServesAnAttemptInFlight(boolean isFullList) throws Exception {
-    CountDownLatch removed = new CountDownLatch(1);
+  void removedEndpointStillServesAttemptInFlight(boolean isFullList) throws Exception {
+    CountDownLatch endpointRemoved = new CountDownLatch(1);
     try (FakeHttpServer upstream =
         new FakeHttpServer(
             (request, connection, output) -> {
-              removed.await();
+              endpointRemoved.await();
               FakeHttpServer.write(output, FakeHttpServer.okResponse("fine"));
             })) {
       coordinator.start(TestCoordinator::forwardOnArrival, upstream);
@@ -223,14 +227,14 @@
               coordinator.updateEndpoint(upstream.address(), EndpointStatus.REMOVED);
             }
           });
-      removed.countDown();
+      endpointRemoved.countDown();
       assertEquals("served", coordinator.nextResponse());
       TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
     }
   }
 
   @Test
-  void repeatAfterTheDeduplicationWindowIsNotForwarded() throws Exception {
+  void retryAfterDeduplicationWindowIsNotForwarded() throws Exception {
     ForwardAttempt forward = new ForwardAttempt("1", TestCoordinator.ENDPOINT_ID, 15_000_000_000L);
     try (FakeHttpServer upstream =
         new FakeHttpServer(
@@ -242,7 +246,7 @@
               actions.accept(forward);
             } else if (event instanceof AttemptCompleted completed
                 && completed.status() == AttemptStatus.ERROR) {
-              actions.accept(new SetTimer("repeat", afterDeduplicationWindowNanos()));
+              actions.accept(new SetTimer("retry", afterDeduplicationWindowNanos()));
             }
           },
           upstream);
--- a/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
@@ -15,7 +15,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The one final response of each request, whatever the policy does or fails to do. */
+/**
+ * Tests that each request gets one final response, even if the policy makes no decision or fails.
+ */
 class RequestCoordinatorTest {
 
   private final TestCoordinator coordinator = new TestCoordinator();
@@ -26,15 +28,16 @@
   }
 
   @Test
-  void requestWithoutADecisionIsRejectedAtItsDeadline() throws Exception {
+  void undecidedRequestIsRejectedAtDeadline() throws Exception {
     coordinator.start((event, actions) -> {});
     coordinator.accept("1", "order", 200);
-    assertEquals("rejected", coordinator.nextResponse(), "nothing ran");
+    assertEquals("rejected", coordinator.nextResponse(), "no attempt was made");
+    // The finished request was removed, so that its identifier can be used again.
     coordinator.accept("1", "order", 200);
   }
 
   @Test
-  void requestThatMayHaveRunFailsAtItsDeadline() throws Exception {
+  void requestThatMayHaveRunFailsAtDeadline() throws Exception {
     try (FakeHttpServer upstream = new FakeHttpServer((request, connection, output) -> {})) {
       coordinator.start(TestCoordinator::forwardOnArrival, upstream);
       coordinator.accept("1", "order", 1_000);
@@ -43,7 +46,7 @@
   }
 
   @Test
-  void policyIsNotifiedOfALateResponseAndTheClientGetsNoSecondOne() throws Exception {
+  void lateResponseIsReportedToPolicyButNotSentToClient() throws Exception {
     try (FakeHttpServer upstream =
         new FakeHttpServer(
             (request, connection, output) -> {
@@ -62,17 +65,18 @@
           },
           upstream);
       coordinator.accept("1", "look", 15_000);
-      AttemptCompleted late = coordinator.nextCompletedAttempt();
-      assertEquals(AttemptStatus.SERVED, late.status());
-      assertTrue(late.requestFinished());
+      AttemptCompleted lateAttempt = coordinator.nextCompletedAttempt();
+      assertEquals(AttemptStatus.SERVED, lateAttempt.status());
+      assertTrue(lateAttempt.requestFinished());
       assertEquals("rejected", coordinator.nextResponse());
       assertTrue(coordinator.responses.isEmpty());
+      // The finished request was removed, so that its identifier can be used again.
       coordinator.accept("1", "look", 15_000);
     }
   }
 
   @Test
-  void cappedDeadlineCompletesAnOpenRequest() throws Exception {
+  void cappedDeadlineCompletesOpenRequest() throws Exception {
     coordinator.start((event, actions) -> {});
     coordinator.accept("1", "look", 600_000);
     coordinator.onLoop(() -> coordinator.capDeadlines(100_000_000L));
@@ -80,7 +84,7 @@
   }
 
   @Test
-  void exceptionOfThePolicyCompletesAllOpenRequests() throws Exception {
+  void policyExceptionCompletesAllOpenRequests() throws Exception {
     coordinator.start(
         (event, actions) -> {
           if (event instanceof RequestArrived arrival && arrival.requestId().equals("2")) {
@@ -95,7 +99,7 @@
   }
 
   @Test
-  void unsupportedActionIsADefectThatNamesIt() throws Exception {
+  void unsupportedActionIsNamedInPolicyDefect() throws Exception {
     coordinator.start(
         (event, actions) -> {
           if (event instanceof RequestArrived) {
--- a/src/test/java/loadbalancer/proxy/coordinator/ResponseDeadlinesTest.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/ResponseDeadlinesTest.java
@@ -5,19 +5,24 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How long before the client stops waiting a response is due. */
+/**
+ * Tests the margin between the deadline of a response and the time at which its client stops
+ * waiting.
+ */
 class ResponseDeadlinesTest {
 
-  /** Clients with little time left wait for less than the margin that others have to spare. */
+  /**
+   * A fixed margin would leave no time for requests whose clients wait for less than the margin.
+   */
   @Test
-  void marginLeavesMostOfAShortWait() {
+  void marginLeavesMostOfShortTimeLeft() {
     assertEquals(60_000_000L, ResponseDeadlines.marginNanos(1_000_000_000L));
     for (long timeLeftNanos = 10_000_000L;
         timeLeftNanos <= 120_000_000L;
         timeLeftNanos += 10_000_000L) {
       assertTrue(
           ResponseDeadlines.marginNanos(timeLeftNanos) <= timeLeftNanos / 4,
-          "of " + timeLeftNanos + " ns");
+          "client time left in ns: " + timeLeftNanos);
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/coordinator/TestCoordinator.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/TestCoordinator.java
@@ -34,30 +34,33 @@
 import loadbalancer.proxy.upstream.ConnectionLimits;
 import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
-/** A coordinator with a scripted policy and a recording client, on an event loop of its own. */
+/**
+ * A coordinator on its own event loop, with a scripted policy and a client that records responses.
+ */
 final class TestCoordinator implements AutoCloseable {
 
-  /** The first upstream that the coordinator is started with. */
+  /** The endpoint identifier of the first upstream that the coordinator is started with. */
   static final long ENDPOINT_ID = EndpointList.endpointId("s-0");
 
-  /** What a test's policy does on an event. */
+  /** The policy of a test. */
   interface ScriptedPolicy {
+    /** Handles an event on the event loop; actions go to {@code actions} in order. */
     void handle(Event event, Consumer<Action> actions);
   }
 
-  /** The final responses sent to clients: served, rejected or failed. */
+  /** The final responses sent to clients, each as "served", "rejected" or "failed". */
   final BlockingQueue<String> responses = new LinkedBlockingQueue<>();
 
   /** The events that the policy was notified of. */
   final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
-  /** The exceptions of the policy, after each of which all open requests were completed. */
+  /** The exceptions passed to the defect handler, which has completed all open requests by then. */
   final BlockingQueue<RuntimeException> defects = new LinkedBlockingQueue<>();
 
   private final EventLoop eventLoop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-  private volatile boolean wasPolicyCalledWhileHandling;
-  private volatile boolean isPolicyHandling;
+  private volatile boolean wasPolicyReentered;
+  private volatile boolean isPolicyHandlingEvent;
   private volatile boolean isClientConnected = true;
   private long drainGraceNanos = 2_000_000_000L;
   private RequestCoordinator coordinator;
@@ -93,17 +96,17 @@
     }
   }
 
-  /** The settings of the drain grace for {@link #start}. */
+  /** Sets the drain grace in nanoseconds; to be called before {@link #start}. */
   void setDrainGraceNanos(long nanos) {
     drainGraceNanos = nanos;
   }
 
-  /** What the client's socket says from now on. */
+  /** Sets whether the client counts as connected from now on. */
   void setClientConnected(boolean isConnected) {
     isClientConnected = isConnected;
   }
 
-  /** Starts the coordinator with three attempts a request and these upstreams. */
+  /** Starts the coordinator with these upstreams and at most three attempts per request. */
   void start(ScriptedPolicy policy, FakeHttpServer... upstreams) throws Exception {
     JsonObjectReader fields =
         JsonObjectReader.parse(
@@ -118,11 +121,11 @@
         new RequestCoordinator(
             settings,
             (nowNanos, event, actions) -> {
-              wasPolicyCalledWhileHandling |= isPolicyHandling;
-              isPolicyHandling = true;
+              wasPolicyReentered |= isPolicyHandlingEvent;
+              isPolicyHandlingEvent = true;
               events.add(event);
               policy.handle(event, actions);
-              isPolicyHandling = false;
+              isPolicyHandlingEvent = false;
             },
             new CoordinatorEnvironment(
                 eventLoop, new EpochClock(), new EventLoopLag(eventLoop), pools),
@@ -130,27 +133,27 @@
               coordinator.completeAllRequests();
               defects.add(defect);
             });
-    EndpointList known = EndpointList.fromJson(fields.nested("known"));
-    onLoop(() -> coordinator.start(known, enabled -> {}));
+    EndpointList cachedList = EndpointList.fromJson(fields.nested("known"));
+    onLoop(() -> coordinator.start(cachedList, isEnabled -> {}));
   }
 
-  /** Runs a task on the event loop and waits for its end. */
+  /** Runs a task on the event loop and waits until it has ended. */
   void onLoop(Runnable task) throws Exception {
     eventLoop.submit(task).get();
   }
 
-  /** Sends a request without a body. */
+  /** Submits a request without a body and checks that the coordinator accepts it. */
   void accept(String requestId, String className, long timeLeftMillis) throws Exception {
     accept(requestId, className, timeLeftMillis, () -> {});
   }
 
-  /** Sends a request and runs a task on the event loop before anything more is read. */
+  /** Submits a request and then runs a task on the event loop, before the loop reads any socket. */
   void accept(String requestId, String className, long timeLeftMillis, Runnable thenOnLoop)
       throws Exception {
     accept(request(requestId, className, timeLeftMillis, 0), thenOnLoop);
   }
 
-  /** Sends a request with a body of so many bytes. */
+  /** Submits a request with a body of this length. */
   void acceptWithBody(String requestId, String className, long timeLeftMillis, int bodyBytes)
       throws Exception {
     accept(request(requestId, className, timeLeftMillis, bodyBytes), () -> {});
@@ -181,7 +184,7 @@
         new RequestMessage(HttpMethod.GET, "/" + className, "h", null, null, new byte[bodyBytes]));
   }
 
-  /** The class with this name in the coordinator's settings. */
+  /** The request class with this name in the coordinator's settings. */
   RequestClass requestClass(String name) {
     return settings.requestClasses().stream()
         .filter(candidate -> candidate.name().equals(name))
@@ -189,39 +192,47 @@
         .orElseThrow();
   }
 
-  /** The client disconnects; to be called on the event loop. */
+  /** Reports that the client of this request disconnected; to be called on the event loop. */
   void disconnectClient(String requestId) {
     coordinator.clientDisconnected(requestId);
   }
 
-  /** The process ends soon; to be called on the event loop. */
+  /** Caps all deadlines, as a graceful shutdown does; to be called on the event loop. */
   void capDeadlines(long remainingNanos) {
     coordinator.capDeadlines(remainingNanos);
   }
 
-  /** The list changes the first upstream; to be called on the event loop. */
+  /**
+   * Applies an endpoint list update that changes the first upstream; to be called on the event
+   * loop.
+   */
   void updateEndpoint(InetSocketAddress address, EndpointStatus status) {
     EndpointDescriptor descriptor = new EndpointDescriptor(ENDPOINT_ID, "a", 1, status, 0, 1);
     coordinator.updateEndpoints(
         new EndpointList(8, false, List.of(new EndpointList.Endpoint(address, descriptor))));
   }
 
-  /** A full list names no upstream any more; to be called on the event loop. */
+  /** Applies a full endpoint list without any upstream; to be called on the event loop. */
   void removeAllEndpoints() {
     coordinator.updateEndpoints(new EndpointList(8, true, List.of()));
   }
 
-  /** The next final response, or null if none comes in 30 s. */
+  /** Waits for the next final response; null if none is sent within 30 s. */
   String nextResponse() throws InterruptedException {
     return responses.poll(30, TimeUnit.SECONDS);
   }
 
-  /** The next exception of the policy, or null if none comes in 30 s. */
+  /**
+   * Waits for the next exception passed to the defect handler; null if there is none within 30 s.
+   */
   RuntimeException nextDefect() throws InterruptedException {
     return defects.poll(30, TimeUnit.SECONDS);
   }
 
-  /** The next completed attempt; drops the events before it. */
+  /**
+   * Waits for the next completed attempt and drops the events before it; fails if no event comes
+   * within 30 s.
+   */
   AttemptCompleted nextCompletedAttempt() throws InterruptedException {
     Event event = events.poll(30, TimeUnit.SECONDS);
     while (event != null) {
@@ -234,8 +245,8 @@
   }
 
   /** Whether the policy was ever called from within its own handling of an event. */
-  boolean wasPolicyCalledWhileHandling() {
-    return wasPolicyCalledWhileHandling;
+  boolean wasPolicyReentered() {
+    return wasPolicyReentered;
   }
 
   @Override
