--- a/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
@@ -67,7 +67,7 @@
       coordinator.accept("1", "look", 15_000);
       AttemptCompleted lateAttempt = coordinator.nextCompletedAttempt();
       assertEquals(AttemptStatus.SERVED, lateAttempt.status());
-      assertTrue(lateAttempt.requestFinished());
+      assertTrue(lateAttempt.requestCompleted());
       assertEquals("rejected", coordinator.nextResponse());
       assertTrue(coordinator.responses.isEmpty());
       // The finished request was removed, so that its identifier can be used again.
