--- a/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
@@ -66,7 +66,7 @@
   }
 
   /**
-   * Loads the last known endpoint list; to be called once, before the first request.
+   * Loads the last known endpoint list and notifies the policy of it; called once.
    *
    * @param cachedList the full list, possibly out of date
    * @param endpointWatch starts and stops the watch of the list from now on
