--- a/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -7,28 +7,33 @@
 import loadbalancer.policy.action.LogMessage;
 
 /**
- * Decides which arriving requests are admitted, by the {@link LatencyRateLimiter}: a request is
- * rejected once its window admitted as many as the mean latency allows. Called by {@link
- * RequestLifecycle} once for each request, unless too many requests are pending already.
+ * Admits or rejects arriving requests. A request is rejected once its sliding window has admitted
+ * as many requests as the {@link LatencyRateLimiter} allows at the present mean latency. {@link
+ * RequestLifecycle} calls {@link #admit} once per request, unless the limit of pending requests is
+ * reached.
  *
- * <p>Work over a quota has its own limiter, with earlier latencies: a tenant that sends too much is
- * throttled before others notice it.
+ * <p>Requests over quota have a limiter of their own with lower latency thresholds, so that a
+ * tenant that exceeds its quota is throttled before other tenants are affected.
  */
 final class AdmissionController {
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** The maximum rate is what was offered, and a tenth more. */
+  /** The limiter's maximum rate, as a multiple of the offered rate. */
   private static final double MAX_RATE_PER_OFFERED = 1.1;
 
+  /** The limiter's minimum rate, as a fraction of its maximum rate. */
   private static final double MIN_RATE_PER_MAX_RATE = 0.02;
 
   /**
-   * Where over-quota work is worth nothing, its limiter's latencies are scaled by this: it is
-   * rejected before work inside quotas slows down.
+   * The scale of the over-quota limiter's latency thresholds when requests over quota have no
+   * weight. They are then rejected before requests within quota slow down.
    */
   private static final double MIN_OVER_QUOTA_LATENCY_SCALE = 0.2;
 
-  /** The windows over which the load of a healthy fleet is averaged; a crowd forms faster. */
+  /**
+   * The time constant of the healthy load average, in statistics windows. A traffic surge builds up
+   * faster, so it hardly raises the average.
+   */
   private static final double HEALTHY_LOAD_WINDOWS = 2;
 
   private final TrafficStatistics traffic;
@@ -38,16 +43,19 @@
   private final LatencyRateLimiter withinQuotaLimiter = LatencyRateLimiter.scaledBy(1);
   private final LatencyRateLimiter overQuotaLimiter;
 
-  /** Moving average of the load for each ready endpoint while the fleet is healthy. */
+  /**
+   * Moving average of the load in flight per ready endpoint, in average requests; updated only
+   * while the fleet is healthy.
+   */
   private double healthyLoadPerEndpoint = 1;
 
-  /** When rejecting started; 0 while nothing is rejected. */
+  /** When the present period of rejections started; 0 outside such a period. */
   private long rejectingSinceNanos;
 
-  private int rejectedInRow;
+  private int consecutiveRejections;
 
   /**
-   * A controller that admits everything until there are samples.
+   * Creates a controller that admits every request until there are latency samples.
    *
    * @param overQuotaWeight the fraction of its priority weight that a request over quota keeps
    */
@@ -66,39 +74,48 @@
             MIN_OVER_QUOTA_LATENCY_SCALE + (1 - MIN_OVER_QUOTA_LATENCY_SCALE) * overQuotaWeight);
   }
 
-  /** Whether the request is admitted; counts it, and logs when rejecting starts and ends. */
+  /**
+   * Decides whether to admit the request and counts it in its windows. Emits a log message when a
+   * period of rejections starts or ends.
+   *
+   * @return whether the request is admitted
+   */
   boolean admit(PendingRequest pending, long nowNanos, Consumer<Action> actions) {
     traffic.count(pending.windows, Metric.OFFERED, 1, nowNanos);
-    SlidingWindow window = decidingWindow(pending.windows, nowNanos);
-    // An overload of the whole fleet shows in no single key, so the worse of both means counts.
+    SlidingWindow window = selectWindow(pending.windows, nowNanos);
+    // A fleet-wide overload may not show in the window of a single key, so the higher mean counts.
     double meanLatency =
         Math.max(window.mean(nowNanos, TrafficStatistics.MIN_SAMPLES), traffic.fleetMean(nowNanos));
     LatencyRateLimiter limiter = pending.isOverQuota() ? overQuotaLimiter : withinQuotaLimiter;
     double allowed = allowedRequests(limiter, window, meanLatency, nowNanos);
     boolean isRejected =
-        requests(window, Metric.ADMITTED, nowNanos) >= allowed
-            && !isProtected(pending)
-            // Samples come from admitted requests only: without any, rejecting would never end.
-            && rejectedInRow < TrafficStatistics.MIN_SAMPLES;
+        totalWithLookback(window, Metric.ADMITTED, nowNanos) >= allowed
+            && !isExempt(pending)
+            // Only admitted requests yield samples, so rejecting all of them would never end.
+            && consecutiveRejections < TrafficStatistics.MIN_SAMPLES;
     if (isRejected) {
-      rejectedInRow++;
+      consecutiveRejections++;
       if (rejectingSinceNanos == 0) {
         rejectingSinceNanos = nowNanos;
-        actions.accept(rejectingStarted(window, meanLatency, allowed, nowNanos));
+        actions.accept(rejectingStartedMessage(window, meanLatency, allowed, nowNanos));
       }
       return false;
     }
-    rejectedInRow = 0;
+    consecutiveRejections = 0;
     if (rejectingSinceNanos != 0 && meanLatency <= limiter.healthyLatency()) {
-      actions.accept(rejectingEnded(nowNanos));
+      actions.accept(rejectingEndedMessage(nowNanos));
       rejectingSinceNanos = 0;
     }
     traffic.count(pending.windows, Metric.ADMITTED, 1, nowNanos);
     return true;
   }
 
-  /** The narrowest of the request's windows that has enough samples. */
-  private SlidingWindow decidingWindow(TrafficWindows windows, long nowNanos) {
+  /**
+   * Returns the window whose latency decides: the one of the key if it has enough samples,
+   * otherwise the one of the class and tenant. If that has too few and traffic is sparse, the
+   * window of all requests within quota or of all over quota is used.
+   */
+  private SlidingWindow selectWindow(TrafficWindows windows, long nowNanos) {
     if (hasEnoughSamples(windows.key(), nowNanos)) {
       return windows.key();
     }
@@ -115,26 +132,27 @@
 
   private static double allowedRequests(
       LatencyRateLimiter limiter, SlidingWindow window, double meanLatency, long nowNanos) {
-    double maxRate = requests(window, Metric.OFFERED, nowNanos) * MAX_RATE_PER_OFFERED;
+    double maxRate = totalWithLookback(window, Metric.OFFERED, nowNanos) * MAX_RATE_PER_OFFERED;
     return limiter.allowedRate(meanLatency, maxRate, maxRate * MIN_RATE_PER_MAX_RATE);
   }
 
-  private static double requests(SlidingWindow window, Metric metric, long nowNanos) {
+  private static double totalWithLookback(SlidingWindow window, Metric metric, long nowNanos) {
     return window.totalWithLookback(nowNanos, metric, TrafficStatistics.MIN_SAMPLES);
   }
 
   /**
-   * Work inside a quota is not rejected for a latency that this balancer did not cause: as long as
-   * it has less load in flight than while the fleet was healthy.
+   * Returns whether the request must not be rejected for high latency: it is within its tenant's
+   * quota, and this balancer has less load in flight than on average while the fleet was healthy,
+   * so its own load is not what causes the latency.
    */
-  private boolean isProtected(PendingRequest pending) {
+  private boolean isExempt(PendingRequest pending) {
     return !pending.isOverQuota()
         && quotas.isLimited(pending.request.tenant())
         && registry.readyLoad() < healthyLoadPerEndpoint * registry.readyCount();
   }
 
   /**
-   * Lets the moving average of a healthy fleet's load follow the present load.
+   * Moves the healthy load average towards the present load, if the fleet is healthy.
    *
    * @param elapsedNanos the time since the last call
    */
@@ -147,7 +165,7 @@
     }
   }
 
-  private static LogMessage rejectingStarted(
+  private static LogMessage rejectingStartedMessage(
       SlidingWindow window, double meanLatency, double allowed, long nowNanos) {
     return new LogMessage(
         String.format(
@@ -155,13 +173,13 @@
             "admission: rejecting started mean_latency_in_objectives=%.2f samples=%.0f"
                 + " admitted=%.0f allowed=%.1f offered=%.0f",
             meanLatency,
-            requests(window, Metric.SAMPLES, nowNanos),
-            requests(window, Metric.ADMITTED, nowNanos),
+            totalWithLookback(window, Metric.SAMPLES, nowNanos),
+            totalWithLookback(window, Metric.ADMITTED, nowNanos),
             allowed,
-            requests(window, Metric.OFFERED, nowNanos)));
+            totalWithLookback(window, Metric.OFFERED, nowNanos)));
   }
 
-  private LogMessage rejectingEnded(long nowNanos) {
+  private LogMessage rejectingEndedMessage(long nowNanos) {
     return new LogMessage(
         "admission: rejecting ended duration_ms="
             + (nowNanos - rejectingSinceNanos) / NANOS_PER_MILLI);
--- a/src/main/java/loadbalancer/policy/LatencyRateLimiter.java
+++ b/src/main/java/loadbalancer/policy/LatencyRateLimiter.java
@@ -1,34 +1,34 @@
 package loadbalancer.policy;
 
 /**
- * The latency-rate limiter of "Adaptive Rate Limiting" (Kademi, 2026): the allowed rate falls on a
- * straight line from the maximum rate, at the healthy latency, to the minimum rate, at the critical
- * latency. Called by {@link AdmissionController} for each request.
+ * The latency-based rate limiter of "Adaptive Rate Limiting" (Kademi, 2026). Between the healthy
+ * and the critical latency, the allowed rate falls linearly from the maximum to the minimum rate.
+ * {@link AdmissionController} calls it for each request.
  *
- * @param healthyLatency the mean latency up to which the maximum rate is allowed (the paper's
- *     {@code minValue})
- * @param criticalLatency the mean latency from which only the minimum rate is allowed (the paper's
- *     {@code maxValue}), in the same unit
+ * @param healthyLatency the mean latency up to which the maximum rate is allowed, in any unit; the
+ *     paper's {@code minValue}
+ * @param criticalLatency the mean latency from which only the minimum rate is allowed, in the same
+ *     unit; the paper's {@code maxValue}
  */
 record LatencyRateLimiter(double healthyLatency, double criticalLatency) {
-  /** The latency of a healthy service, in latency objectives. */
+  /** The default healthy latency, in latency objectives. */
   static final double HEALTHY_LATENCY_IN_OBJECTIVES = 0.5;
 
-  /** The latency of a critically overloaded service, in latency objectives. */
+  /** The default critical latency, in latency objectives. */
   static final double CRITICAL_LATENCY_IN_OBJECTIVES = 1.5;
 
-  /** The limiter whose two latencies are {@code factor} times the ordinary ones. */
+  /** Creates a limiter with {@code factor} times the default latencies. */
   static LatencyRateLimiter scaledBy(double factor) {
     return new LatencyRateLimiter(
         HEALTHY_LATENCY_IN_OBJECTIVES * factor, CRITICAL_LATENCY_IN_OBJECTIVES * factor);
   }
 
   /**
-   * The allowed rate at a mean latency.
+   * Returns the allowed rate at a mean latency.
    *
-   * @param meanLatency in the unit of the limiter's latencies
-   * @param maxRate requests in any unit of time
-   * @param minRate requests in the same unit of time
+   * @param meanLatency the mean latency, in the unit of the two thresholds
+   * @param maxRate the rate up to the healthy latency, in requests per any unit of time
+   * @param minRate the rate from the critical latency on, in the unit of {@code maxRate}
    */
   double allowedRate(double meanLatency, double maxRate, double minRate) {
     double fraction =
--- a/src/main/java/loadbalancer/policy/package-info.java
+++ b/src/main/java/loadbalancer/policy/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Every decision of one balancer: admission, placement, retries, hedging, rejection and how the
- * endpoint list is followed. Deterministic: no clock, no thread, no I/O, and no randomness but the
- * seed.
+ * The load-balancing policy of one balancer. It decides on admission, placement, retries, hedging
+ * and rejection, and on when to watch the endpoint list. It is deterministic: it uses no clock,
+ * thread or I/O, and no source of randomness but its seed.
  */
 package loadbalancer.policy;
