--- a/src/main/java/loadbalancer/policy/ResponseStatistics.java
+++ b/src/main/java/loadbalancer/policy/ResponseStatistics.java
@@ -3,9 +3,9 @@
 import loadbalancer.policy.SlidingWindow.Metric;
 
 /**
- * What an endpoint's served attempts showed over the last window: their latencies, their latency
- * objectives and the time that they spent queueing in this process. {@link ConcurrencyLimit} and
- * {@link OutlierDetector} decide by it.
+ * Latencies, latency objectives and local delays of an endpoint's served attempts, over a sliding
+ * window. The local delay of an attempt is the time that it waited in this process. {@link
+ * ConcurrencyLimit} and {@link OutlierDetector} use these statistics.
  */
 final class ResponseStatistics {
   private static final double NANOS_PER_SECOND = 1e9;
@@ -13,15 +13,15 @@
   private final SlidingWindow window;
   private long firstServedNanos;
 
-  /** Statistics of an endpoint that has not served anything. */
+  /** Creates the statistics of an endpoint that has not served any attempt yet. */
   ResponseStatistics(long windowNanos, long nowNanos) {
     window = new SlidingWindow(windowNanos, nowNanos);
   }
 
   /**
-   * Counts a served attempt.
+   * Adds a served attempt.
    *
-   * @param latencyNanos from forwarding to the response
+   * @param latencyNanos the time from forwarding the attempt to its response
    * @param localDelayNanos the time that the attempt waited in this process
    */
   void record(PendingRequest pending, long latencyNanos, long localDelayNanos, long nowNanos) {
@@ -38,32 +38,32 @@
     window.add(nowNanos, Metric.LOCAL_DELAY, load * localDelayNanos);
   }
 
-  /** When the endpoint first served an attempt; 0 for never. */
+  /** Returns when the endpoint first served an attempt; 0 if it never did. */
   long firstServedNanos() {
     return firstServedNanos;
   }
 
-  /** The number of attempts served. */
+  /** Returns the number of attempts served in the last window. */
   double served(long nowNanos) {
     return window.total(nowNanos, Metric.SAMPLES);
   }
 
-  /** The sum of the served attempts' loads, each times its latency objective in seconds. */
+  /** Returns the sum of the served attempts' latency objectives in seconds, weighted by load. */
   double objectiveSeconds(long nowNanos) {
     return window.total(nowNanos, Metric.OBJECTIVE);
   }
 
-  /** The sum of the served attempts' local delays, each times the attempt's load. */
+  /** Returns the sum of the served attempts' local delays, weighted by load. */
   double localDelayNanos(long nowNanos) {
     return window.total(nowNanos, Metric.LOCAL_DELAY);
   }
 
-  /** The mean latency of a served attempt; 0 for none. */
+  /** Returns the mean of load times latency over the served attempts; 0 without any. */
   double meanLatencyNanos(long nowNanos) {
     return window.mean(nowNanos, 1);
   }
 
-  /** The mean local delay of a served attempt. */
+  /** Returns the mean of load times local delay over the served attempts; 0 without any. */
   double meanLocalDelayNanos(long nowNanos) {
     return localDelayNanos(nowNanos) / Math.max(1, served(nowNanos));
   }
--- a/src/main/java/loadbalancer/policy/SlidingWindow.java
+++ b/src/main/java/loadbalancer/policy/SlidingWindow.java
@@ -3,29 +3,29 @@
 import java.util.Arrays;
 
 /**
- * Counts and sums over the last window, in slots of a twelfth of its length. A window may keep
- * several times its length, so that a mean can look back where the last window holds too few
- * samples.
+ * Totals of several metrics over a sliding window, kept in slots of one twelfth of the window's
+ * length. A window may retain several times its length, so that a mean can look back when the last
+ * window holds too few samples.
  *
- * <p>Reading advances the window to the time of the reading. Times are nanoseconds on one clock
- * that never goes back.
+ * <p>Reads also advance the window to the given time. Times are nanoseconds on one monotonic clock.
+ * Not thread-safe.
  */
-@SuppressWarnings("EnumOrdinal") // A metric is an index: the windows are the hot path.
+@SuppressWarnings("EnumOrdinal") // Metrics index arrays, as the windows are on the hot path.
 final class SlidingWindow {
 
-  /** What a window counts. */
+  /** The metrics that a window totals. */
   enum Metric {
     /** Requests that arrived. */
     OFFERED,
     /** Requests that were admitted. */
     ADMITTED,
-    /** Latencies that were added. */
+    /** The number of latency samples. */
     SAMPLES,
-    /** The sum of the latencies, in the unit of the window's user. */
+    /** The sum of the latencies, in the unit that the caller uses. */
     LATENCY,
-    /** The sum of the latency objectives of the requests that were sampled. */
+    /** The sum of the sampled requests' latency objectives, in the unit that the caller uses. */
     OBJECTIVE,
-    /** The sum of the time that sampled requests spent queueing in this process. */
+    /** The sum of the times that sampled requests waited in this process. */
     LOCAL_DELAY
   }
 
@@ -33,50 +33,63 @@
   private static final int METRICS = Metric.values().length;
 
   private final long slotNanos;
+
+  /** The number of slots in the last window and the lookback. */
   private final int keptSlots;
+
+  /** The totals of each slot, by metric; slot {@code s} is at index {@code s % keptSlots}. */
   private final double[][] slots;
+
+  /** The totals over the last window, without the lookback. */
   private final double[] totals = new double[METRICS];
-  private long slot;
 
-  /** A window that keeps its length. */
+  /** The number of the latest slot, counted from clock reading 0. */
+  private long currentSlot;
+
+  /** Creates an empty window without lookback. */
   SlidingWindow(long lengthNanos, long nowNanos) {
     this(lengthNanos, 1, nowNanos);
   }
 
-  /** A window that keeps {@code lookbackWindows} times its length. */
+  /**
+   * Creates an empty window that retains {@code lookbackWindows} times its length.
+   *
+   * @param lengthNanos the window's length, at least 12 ns
+   * @param nowNanos the present clock reading
+   */
   SlidingWindow(long lengthNanos, int lookbackWindows, long nowNanos) {
     slotNanos = lengthNanos / SLOTS_PER_WINDOW;
     keptSlots = SLOTS_PER_WINDOW * lookbackWindows;
     slots = new double[METRICS][keptSlots];
-    slot = nowNanos / slotNanos;
+    currentSlot = nowNanos / slotNanos;
   }
 
-  /** Whether everything that was counted is older than the window keeps. */
+  /** Returns whether everything that was added is too old to be retained. */
   boolean isEmpty(long nowNanos) {
-    return nowNanos / slotNanos - slot >= keptSlots;
+    return nowNanos / slotNanos - currentSlot >= keptSlots;
   }
 
-  /** Adds an amount to a metric. */
+  /** Adds an amount to a metric at {@code nowNanos}. */
   void add(long nowNanos, Metric metric, double amount) {
     totals[metric.ordinal()] = total(nowNanos, metric) + amount;
-    slots[metric.ordinal()][(int) (slot % keptSlots)] += amount;
+    slots[metric.ordinal()][(int) (currentSlot % keptSlots)] += amount;
   }
 
-  /** The total of a metric over the last window. */
+  /** Returns the total of a metric over the last window. */
   double total(long nowNanos, Metric metric) {
     advance(nowNanos);
     return totals[metric.ordinal()];
   }
 
   /**
-   * The total of a metric over the last window, or over as many slots before it as hold {@code
-   * minSamples} samples and are still kept.
+   * Returns the total of a metric over the last window. If it holds fewer than {@code minSamples}
+   * samples, the retained slots before it are included, newest first, until there are as many.
    */
   double totalWithLookback(long nowNanos, Metric metric, int minSamples) {
     double sum = total(nowNanos, metric);
     double samples = totals[Metric.SAMPLES.ordinal()];
-    for (long s = slot - SLOTS_PER_WINDOW;
-        samples < minSamples && s > slot - keptSlots && s >= 0;
+    for (long s = currentSlot - SLOTS_PER_WINDOW;
+        samples < minSamples && s > currentSlot - keptSlots && s >= 0;
         s--) {
       int index = (int) (s % keptSlots);
       samples += slots[Metric.SAMPLES.ordinal()][index];
@@ -86,8 +99,8 @@
   }
 
   /**
-   * The mean latency of at least {@code minSamples} samples, as far as they are kept; 0 where there
-   * are none, which reads as healthy.
+   * Returns the mean latency of at least {@code minSamples} samples, as far as they are retained.
+   * It is 0 without samples, which counts as healthy.
    */
   double mean(long nowNanos, int minSamples) {
     double samples = totalWithLookback(nowNanos, Metric.SAMPLES, minSamples);
@@ -98,26 +111,26 @@
   }
 
   private void advance(long nowNanos) {
-    long current = nowNanos / slotNanos;
+    long newSlot = nowNanos / slotNanos;
     if (isEmpty(nowNanos)) {
-      // Slot by slot, the oldest slots would be overwritten before they were subtracted.
+      // Advancing by single slots would overwrite the oldest ones before they are subtracted.
       Arrays.fill(totals, 0);
-      for (double[] ofMetric : slots) {
-        Arrays.fill(ofMetric, 0);
+      for (double[] metricSlots : slots) {
+        Arrays.fill(metricSlots, 0);
       }
-      slot = current;
+      currentSlot = newSlot;
     }
-    for (long s = slot + 1; s <= current; s++) {
-      enterSlot(s);
+    for (long s = currentSlot + 1; s <= newSlot; s++) {
+      startSlot(s);
     }
-    slot = current;
+    currentSlot = newSlot;
   }
 
-  private void enterSlot(long entered) {
-    int index = (int) (entered % keptSlots);
+  private void startSlot(long started) {
+    int index = (int) (started % keptSlots);
     for (int m = 0; m < METRICS; m++) {
-      if (entered >= SLOTS_PER_WINDOW) {
-        totals[m] -= slots[m][(int) ((entered - SLOTS_PER_WINDOW) % keptSlots)];
+      if (started >= SLOTS_PER_WINDOW) {
+        totals[m] -= slots[m][(int) ((started - SLOTS_PER_WINDOW) % keptSlots)];
       }
       slots[m][index] = 0;
     }
--- a/src/main/java/loadbalancer/policy/TrafficStatistics.java
+++ b/src/main/java/loadbalancer/policy/TrafficStatistics.java
@@ -7,23 +7,25 @@
 import loadbalancer.policy.event.RequestArrived;
 
 /**
- * The sliding windows that traffic is counted in: for each key, for each class and tenant, for all
- * work inside and all work over quotas, and for the whole fleet. Latencies are counted in parts of
- * the request's latency objective, so that classes can share a window.
+ * The traffic of this balancer, counted in sliding windows: one for each key, one for each class
+ * and tenant, one each for all requests within and over quota, and one for the whole fleet.
+ * Latencies are in multiples of the request's latency objective, so that classes can share a
+ * window.
  *
- * <p>{@link AdmissionController} decides by these windows; the retry budget, hedging, slow start
- * and placement read the totals.
+ * <p>{@link AdmissionController} decides by these windows. The retry budget, hedging, slow start
+ * and placement use the totals.
  */
 final class TrafficStatistics {
   /**
-   * A window with fewer samples is no base for a decision. It could not even hold a steady rate:
-   * the first requests of every window would pass.
+   * The number of latency samples that a decision needs. With fewer, even a steady rate could not
+   * be limited, because the first requests of every window would be admitted.
    */
   static final int MIN_SAMPLES = 10;
 
+  /** How many window lengths the windows of the fleet and of the quota groups retain. */
   private static final int LOOKBACK_WINDOWS = 5;
 
-  /** Bounds the memory where most keys are new; the least recently used window is dropped. */
+  /** Bounds the memory when most keys are new; the least recently used window is evicted. */
   private static final int MAX_TRACKED_WINDOWS = 20_000;
 
   private final long windowNanos;
@@ -31,10 +33,14 @@
   private final SlidingWindow withinQuota;
   private final SlidingWindow overQuota;
 
-  /** By name, in the order of their last use. */
+  /** The windows of keys and of classes and tenants by name, least recently used first. */
   private final Map<String, SlidingWindow> windows = new LinkedHashMap<>(64, 0.75f, true);
 
-  /** Statistics without traffic. */
+  /**
+   * Creates statistics without traffic.
+   *
+   * @param windowNanos the length of each sliding window
+   */
   TrafficStatistics(long windowNanos) {
     this.windowNanos = windowNanos;
     fleet = new SlidingWindow(windowNanos, LOOKBACK_WINDOWS, 0);
@@ -42,7 +48,11 @@
     overQuota = new SlidingWindow(windowNanos, LOOKBACK_WINDOWS, 0);
   }
 
-  /** The windows that count a request. */
+  /**
+   * Returns the windows that count a request, creating those that do not exist yet.
+   *
+   * @param isOverQuota whether the request is over its tenant's quota
+   */
   TrafficWindows windowsOf(RequestArrived request, boolean isOverQuota, long nowNanos) {
     String name = request.className() + ' ' + request.tenant() + (isOverQuota ? " over" : "");
     SlidingWindow classAndTenant = windowNamed(name, nowNanos);
@@ -51,54 +61,57 @@
         isOverQuota, isOverQuota ? overQuota : withinQuota, classAndTenant, key);
   }
 
-  /** Also drops least recently used windows that hold nothing any more, or are too many. */
+  /**
+   * Returns the window of this name. Evicts the least recently used windows while they are empty or
+   * too many are tracked.
+   */
   private SlidingWindow windowNamed(String name, long nowNanos) {
     SlidingWindow window =
         windows.computeIfAbsent(name, absent -> new SlidingWindow(windowNanos, nowNanos));
     Iterator<SlidingWindow> leastRecentlyUsed = windows.values().iterator();
-    SlidingWindow oldest = leastRecentlyUsed.next();
-    while (oldest != window && (oldest.isEmpty(nowNanos) || windows.size() > MAX_TRACKED_WINDOWS)) {
+    SlidingWindow eldest = leastRecentlyUsed.next();
+    while (eldest != window && (eldest.isEmpty(nowNanos) || windows.size() > MAX_TRACKED_WINDOWS)) {
       leastRecentlyUsed.remove();
-      oldest = leastRecentlyUsed.next();
+      eldest = leastRecentlyUsed.next();
     }
     return window;
   }
 
-  /** Counts an amount in each of a request's windows and for the fleet. */
-  void count(TrafficWindows of, Metric metric, double amount, long nowNanos) {
-    of.key().add(nowNanos, metric, amount);
-    of.classAndTenant().add(nowNanos, metric, amount);
-    of.quotaGroup().add(nowNanos, metric, amount);
+  /** Adds an amount to a metric in each window of a request and in the fleet's. */
+  void count(TrafficWindows requestWindows, Metric metric, double amount, long nowNanos) {
+    requestWindows.key().add(nowNanos, metric, amount);
+    requestWindows.classAndTenant().add(nowNanos, metric, amount);
+    requestWindows.quotaGroup().add(nowNanos, metric, amount);
     fleet.add(nowNanos, metric, amount);
   }
 
-  /** Adds one latency sample, in latency objectives. */
-  void addSample(TrafficWindows of, double latencyInObjectives, long nowNanos) {
-    count(of, Metric.SAMPLES, 1, nowNanos);
-    count(of, Metric.LATENCY, latencyInObjectives, nowNanos);
+  /** Adds one latency sample, in multiples of the request's latency objective. */
+  void addSample(TrafficWindows requestWindows, double latencyInObjectives, long nowNanos) {
+    count(requestWindows, Metric.SAMPLES, 1, nowNanos);
+    count(requestWindows, Metric.LATENCY, latencyInObjectives, nowNanos);
   }
 
-  /** The total of a metric over the last window, of all traffic. */
+  /** Returns the total of a metric over the last window of all traffic. */
   double fleetTotal(Metric metric, long nowNanos) {
     return fleet.total(nowNanos, metric);
   }
 
-  /** The mean latency of all traffic, in latency objectives. */
+  /** Returns the mean latency of all traffic, in latency objectives; 0 without samples. */
   double fleetMean(long nowNanos) {
     return fleet.mean(nowNanos, MIN_SAMPLES);
   }
 
-  /** Whether the mean latency of all traffic is no reason to reject anything. */
+  /** Returns whether the mean latency of all traffic is low enough to admit all requests. */
   boolean isFleetHealthy(long nowNanos) {
     return fleetMean(nowNanos) <= LatencyRateLimiter.HEALTHY_LATENCY_IN_OBJECTIVES;
   }
 
-  /** The length of the windows. */
+  /** Returns the length of each sliding window. */
   long windowNanos() {
     return windowNanos;
   }
 
-  /** How many windows are tracked by name. */
+  /** Returns the number of windows of keys and of classes and tenants. */
   int trackedWindows() {
     return windows.size();
   }
--- a/src/main/java/loadbalancer/policy/TrafficWindows.java
+++ b/src/main/java/loadbalancer/policy/TrafficWindows.java
@@ -1,12 +1,13 @@
 package loadbalancer.policy;
 
 /**
- * The sliding windows that count one request, beside the one of the whole fleet.
+ * The sliding windows of {@link TrafficStatistics} that count one request, except for the fleet's.
+ * Each counts either requests within quota or requests over quota, never both.
  *
  * @param isOverQuota whether the request is over its tenant's quota
- * @param quotaGroup all work inside quotas, or all work over them
- * @param classAndTenant the work of the request's class and tenant, inside or over the quota
- * @param key the same on the request's key
+ * @param quotaGroup counts the requests of all classes and tenants
+ * @param classAndTenant counts the requests of the same class and tenant
+ * @param key counts the requests of the same class, tenant and key
  */
 record TrafficWindows(
     boolean isOverQuota,
