--- a/src/main/java/loadbalancer/policy/AttemptRecorder.java
+++ b/src/main/java/loadbalancer/policy/AttemptRecorder.java
@@ -4,16 +4,17 @@
 import loadbalancer.policy.event.AttemptStatus;
 
 /**
- * Feeds the statistics, the moving averages and the outlier detection with completed attempts.
+ * Records completed attempts in the statistics, the moving averages and the outlier detection.
  *
- * <p>Latency samples are in latency objectives, from the request's arrival on, less the local
- * delay: time that an attempt spent in this process says nothing of the endpoint.
+ * <p>A latency sample is the time since the request's arrival, as a multiple of its latency
+ * objective. Local delay, the time that an attempt waited in this process, is subtracted because
+ * the endpoint does not cause it.
  */
 final class AttemptRecorder {
-  /** Delays up to this many readings of the clock are its rounding. */
+  /** Local delays up to this many clock ticks count as rounding errors of the clock. */
   private static final int CLOCK_ROUNDING_TICKS = 3;
 
-  /** A connection reset counts as a missed objective at least. */
+  /** The smallest latency sample of a reset: the objective counts as missed. */
   private static final double MIN_RESET_LATENCY_IN_OBJECTIVES = 1;
 
   private final TrafficStatistics traffic;
@@ -21,7 +22,11 @@
   private final OutlierDetector outlierDetector;
   private final long clockRoundingNanos;
 
-  /** A recorder for a balancer whose clock has the given resolution. */
+  /**
+   * Creates a recorder.
+   *
+   * @param clockResolutionNanos the resolution of the balancer's clock
+   */
   AttemptRecorder(
       TrafficStatistics traffic,
       InFlightTime inFlightTime,
@@ -38,8 +43,8 @@
     if (completed.status() == AttemptStatus.SERVED) {
       recordServed(pending, attempt, completed, nowNanos);
     } else if (completed.foundStaleConnection()) {
-      // Says nothing of the endpoint: pooled connections break together, and a few in a row would
-      // eject a healthy endpoint. After a crash, the connects that follow are refused and count.
+      // Not a failure of the endpoint: pooled connections break together, so a few in a row would
+      // eject a healthy endpoint. After a crash, the next connects are refused and do count.
       long localDelayNanos = localDelayNanos(attempt, completed, nowNanos);
       addSample(pending, latencyInObjectives(pending, localDelayNanos, nowNanos), nowNanos);
     } else if (countsAsFailure(completed.status())) {
@@ -61,21 +66,21 @@
   }
 
   /**
-   * An endpoint that rejects everything has nothing in flight, so bounded load would prefer it: a
-   * rejection counts for outlier detection, though it is no latency sample.
+   * Records a failed attempt. A rejection is no latency sample, but counts for outlier detection:
+   * an endpoint that rejects everything has nothing in flight, so bounded load would prefer it.
    */
   private void recordFailed(
       PendingRequest pending, Attempt attempt, AttemptStatus status, long nowNanos) {
     double latency = latencyInObjectives(pending, 0, nowNanos);
     if (status == AttemptStatus.RESET) {
-      // Any more would take broken connections for load.
+      // A larger sample would make broken connections look like an overload.
       addSample(pending, Math.max(MIN_RESET_LATENCY_IN_OBJECTIVES, latency), nowNanos);
     } else if (status == AttemptStatus.ERROR) {
       addSample(
           pending, Math.max(LatencyRateLimiter.CRITICAL_LATENCY_IN_OBJECTIVES, latency), nowNanos);
     } else if (status == AttemptStatus.TIMEOUT) {
-      // The time that the client allowed, not its class's deadline, which is longer: losses that
-      // rejecting cannot mend would look like an overload.
+      // The time that the client allowed. With the class's deadline, which is longer, lost attempts
+      // would look like an overload, though rejecting requests does not prevent them.
       addSample(pending, latency, nowNanos);
     }
     outlierDetector.recordFailure(attempt.endpoint, nowNanos);
@@ -91,7 +96,10 @@
         / pending.requestClass.latencyObjectiveNanos();
   }
 
-  /** The part of the time since the attempt was forwarded that is not its latency. */
+  /**
+   * Returns the time since forwarding that is not part of the attempt's latency; 0 if within the
+   * clock's rounding error.
+   */
   private long localDelayNanos(Attempt attempt, AttemptCompleted completed, long nowNanos) {
     long delayNanos = nowNanos - attempt.forwardedAtNanos - completed.latencyNanos();
     return delayNanos <= clockRoundingNanos ? 0 : delayNanos;
--- a/src/main/java/loadbalancer/policy/InFlightTime.java
+++ b/src/main/java/loadbalancer/policy/InFlightTime.java
@@ -6,46 +6,50 @@
 import loadbalancer.policy.settings.RequestClass;
 
 /**
- * The time that attempts were in flight over the last ten seconds, for each endpoint and for all
- * together.
+ * History of the time that attempts were in flight during the last ten seconds, per endpoint and in
+ * total.
  *
- * <p>The number of attempts in flight at this moment says little where many balancers share the
- * traffic and each has hardly one of them: there, {@link LoadBound} and {@link KeySpread} also go
- * by this history. An attempt is charged the smoothed latency when it starts, and the difference to
- * its real latency when it completes.
+ * <p>When many balancers share the traffic, each has hardly one attempt in flight, so the present
+ * number of attempts in flight says little about an endpoint's load. {@link LoadBound} and {@link
+ * KeySpread} then use this history too. An attempt is charged the average latency when it starts,
+ * and the difference to its real latency when it completes.
  */
 final class InFlightTime {
   private static final long HISTORY_NANOS = 10_000_000_000L;
 
-  /** Mean of attempts in flight for each endpoint below which the present count says little. */
+  /** Traffic is sparse if an endpoint has fewer attempts than this in flight on average. */
   private static final double SPARSE_IN_FLIGHT_PER_ENDPOINT = 0.12;
 
   /**
-   * What a failed or rejected attempt is charged at least: an overloaded endpoint rests, and a
-   * failing one does not look idle.
+   * The minimum charge of an attempt that was not served, in latency objectives. It relieves an
+   * overloaded endpoint and keeps a failing one from looking idle.
    */
-  private static final double FAILURE_CHARGE_IN_OBJECTIVES = 4;
+  private static final double MIN_FAILURE_CHARGE_IN_OBJECTIVES = 4;
 
   private static final double SMOOTHING_FACTOR = 0.005;
 
   private final SlidingWindow fleet = newWindow(0);
   private double smoothedLatencyNanos;
 
-  /** Starts with an assumed latency. */
+  /**
+   * Creates an empty history.
+   *
+   * @param initialLatencyNanos the average latency to assume before any attempt was served
+   */
   InFlightTime(double initialLatencyNanos) {
     smoothedLatencyNanos = initialLatencyNanos;
   }
 
-  /** An empty history for one endpoint. */
+  /** Creates an empty history for one endpoint, to be kept in {@link Endpoint#inFlightTime}. */
   static SlidingWindow newWindow(long nowNanos) {
     return new SlidingWindow(HISTORY_NANOS, nowNanos);
   }
 
   /**
-   * Charges an attempt that starts now with its expected time in flight.
+   * Charges the endpoint with the expected time in flight of an attempt that starts now.
    *
    * @param load the request's load, in average requests
-   * @return what was charged, in nanoseconds
+   * @return the charged time in nanoseconds
    */
   double charge(Endpoint endpoint, double load, long nowNanos) {
     double chargedNanos = smoothedLatencyNanos * load;
@@ -54,12 +58,15 @@
     return chargedNanos;
   }
 
-  /** Replaces the charge of an attempt that completed by the time that counts for it. */
+  /**
+   * Replaces the charge of a completed attempt with its real latency. An attempt that was not
+   * served is charged at least a minimum, unless it found a stale connection.
+   */
   void settle(
       Attempt attempt, RequestClass requestClass, AttemptCompleted completed, long nowNanos) {
     double minNanos = 0;
     if (completed.status() != AttemptStatus.SERVED && !completed.foundStaleConnection()) {
-      minNanos = FAILURE_CHARGE_IN_OBJECTIVES * requestClass.latencyObjectiveNanos();
+      minNanos = MIN_FAILURE_CHARGE_IN_OBJECTIVES * requestClass.latencyObjectiveNanos();
     }
     double differenceNanos =
         Math.max(minNanos, (double) completed.latencyNanos()) - attempt.chargedNanos;
@@ -67,22 +74,25 @@
     fleet.add(nowNanos, Metric.LATENCY, differenceNanos);
   }
 
-  /** Adds the latency of a served attempt to the moving average. */
+  /** Updates the average latency with that of a served attempt. */
   void recordLatency(long latencyNanos) {
     smoothedLatencyNanos += (latencyNanos - smoothedLatencyNanos) * SMOOTHING_FACTOR;
   }
 
-  /** The history of all endpoints, in attempts of average latency. */
+  /** Returns the history of all endpoints, in attempts of average latency. */
   double recentAttempts(long nowNanos) {
     return fleet.total(nowNanos, Metric.LATENCY) / smoothedLatencyNanos;
   }
 
-  /** The history of one endpoint, in attempts of average latency. */
+  /** Returns the history of one endpoint, in attempts of average latency. */
   double recentAttempts(Endpoint endpoint, long nowNanos) {
     return endpoint.inFlightTime.total(nowNanos, Metric.LATENCY) / smoothedLatencyNanos;
   }
 
-  /** Whether so little is in flight for each ready endpoint that the history has to count. */
+  /**
+   * Returns whether so few attempts are in flight per ready endpoint that their present number says
+   * little about the load.
+   */
   boolean isSparse(int readyEndpoints, long nowNanos) {
     return fleet.total(nowNanos, Metric.LATENCY)
         < SPARSE_IN_FLIGHT_PER_ENDPOINT * readyEndpoints * HISTORY_NANOS;
--- a/src/main/java/loadbalancer/policy/LoadEstimator.java
+++ b/src/main/java/loadbalancer/policy/LoadEstimator.java
@@ -1,12 +1,12 @@
 package loadbalancer.policy;
 
 /**
- * Turns a request's work hint into a load, in average requests: a few heavy requests fill an
- * endpoint that a count of requests would call half empty. The average is an exponentially weighted
- * moving average of the hints that came.
+ * Estimates a request's load from its work hint, in average requests. A few heavy requests can fill
+ * an endpoint that looks half empty by its number of requests. The average is an exponentially
+ * weighted moving average of the hints received.
  */
 final class LoadEstimator {
-  /** A request counts as at most this many average ones, and at least as the inverse. */
+  /** The largest load of a request, in average requests; the smallest is its inverse. */
   private static final double MAX_LOAD = 4;
 
   private static final double SMOOTHING_FACTOR = 0.005;
@@ -14,9 +14,10 @@
   private double smoothedHintNanos;
 
   /**
-   * The load of a request; a hint also moves the average.
+   * Returns the load of a request and updates the average with its hint. A request without a hint
+   * has a load of 1.
    *
-   * @param workHintNanos the expected work, or 0 where no hint came
+   * @param workHintNanos the expected work, as time on a standard core; 0 without a hint
    */
   double loadOf(long workHintNanos) {
     if (workHintNanos <= 0) {
--- a/src/main/java/loadbalancer/policy/TenantQuotas.java
+++ b/src/main/java/loadbalancer/policy/TenantQuotas.java
@@ -6,20 +6,27 @@
 import loadbalancer.policy.settings.Tenant;
 
 /**
- * The tenants' request quotas, as a token bucket for each tenant. Each balancer of a group grants
- * an equal part of a quota, without talking to the others; the bucket holds a second's requests.
+ * The tenants' request quotas, each enforced by a token bucket. Each balancer of a group grants an
+ * equal share of a quota without communicating with the others. A bucket holds the tokens of one
+ * second.
  *
- * <p>A request that finds its bucket empty is over quota, not rejected: {@link AdmissionController}
- * rejects such requests earlier than others.
+ * <p>A request whose bucket is empty is marked as over quota and not rejected for that alone.
+ * {@link AdmissionController} rejects such requests at lower latencies than others.
  */
 final class TenantQuotas {
-  /** Below this, chance alone would put requests of a small quota over it. */
+  /** The smallest bucket; with less, random arrivals alone would exceed a small quota. */
   private static final double MIN_BUCKET_TOKENS = 3;
 
+  /** This balancer's share of the quota, by tenant name; 0 without a quota. */
   private final Map<String, Double> requestsPerSecond = new HashMap<>();
+
   private final Map<String, TokenBucket> buckets = new HashMap<>();
 
-  /** Full quotas of the tenants, of which this balancer grants one part in {@code groupSize}. */
+  /**
+   * Creates the quotas of the given tenants.
+   *
+   * @param groupSize the number of balancers that share each quota
+   */
   TenantQuotas(List<Tenant> tenants, int groupSize) {
     for (Tenant tenant : tenants) {
       requestsPerSecond.put(tenant.name(), tenant.quotaPerSecond() / groupSize);
@@ -27,10 +34,10 @@
   }
 
   /**
-   * Takes a token from the tenant's bucket.
+   * Takes a token from the tenant's bucket for one request.
    *
-   * @param tenant the tenant, or null for none
-   * @return false where the tenant has a quota and its bucket is empty
+   * @param tenant the tenant's name, or null for none
+   * @return false if the tenant has a quota and its bucket is empty
    */
   boolean tryAcquire(String tenant, long nowNanos) {
     double rate = tenant == null ? 0 : requestsPerSecond.getOrDefault(tenant, 0.0);
@@ -45,7 +52,7 @@
     return true;
   }
 
-  /** Whether the tenant has a quota and sent requests before. */
+  /** Returns whether the tenant has a quota and has sent requests before. */
   boolean isLimited(String tenant) {
     return buckets.containsKey(tenant);
   }
--- a/src/main/java/loadbalancer/policy/TokenBucket.java
+++ b/src/main/java/loadbalancer/policy/TokenBucket.java
@@ -1,32 +1,32 @@
 package loadbalancer.policy;
 
 /**
- * A token bucket whose rate and size may differ from one refill to the next. It starts empty, as if
- * last refilled at clock reading 0.
+ * A token bucket whose rate and size may change with each refill. It starts empty, with its last
+ * refill at clock reading 0. Not thread-safe.
  */
 final class TokenBucket {
   private double tokens;
-  private long refilledAtNanos;
+  private long lastRefillNanos;
 
   /**
-   * Adds the tokens of the time since the last refill, up to {@code maxTokens}.
+   * Adds the tokens for the time since the last refill, up to {@code maxTokens} in total.
    *
-   * @return the tokens now in the bucket
+   * @return the number of tokens now in the bucket
    */
   double refill(long nowNanos, double tokensPerSecond, double maxTokens) {
-    tokens = Math.min(maxTokens, tokens + tokensPerSecond * (nowNanos - refilledAtNanos) / 1e9);
-    refilledAtNanos = nowNanos;
+    tokens = Math.min(maxTokens, tokens + tokensPerSecond * (nowNanos - lastRefillNanos) / 1e9);
+    lastRefillNanos = nowNanos;
     return tokens;
   }
 
-  /** Takes tokens out; the caller has checked that they are there. */
+  /** Removes tokens; the caller checks beforehand that the bucket holds them. */
   void take(double amount) {
     tokens -= amount;
   }
 
-  /** Empties the bucket, as if refilled at {@code nowNanos}. */
+  /** Empties the bucket; the next refill counts from {@code nowNanos}. */
   void reset(long nowNanos) {
     tokens = 0;
-    refilledAtNanos = nowNanos;
+    lastRefillNanos = nowNanos;
   }
 }
