--- a/src/main/java/loadbalancer/policy/settings/PolicySettings.java
+++ b/src/main/java/loadbalancer/policy/settings/PolicySettings.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * The settings of one balancer, handed over once when its policy is made. Settings that make no
- * sense are an {@link IllegalArgumentException} that names the setting.
+ * The settings of one balancer, passed once when its policy is created. The messages of {@link
+ * IllegalArgumentException} use the field names of the settings object.
  *
  * @param instanceIndex the balancer's index in its group, from 0
  * @param groupSize the number of balancers in the group
  * @param zone the balancer's availability zone
- * @param requestClasses the classes of requests, at least one
+ * @param requestClasses the request classes; at least one
  * @param tenants the tenants; may be empty
- * @param limits what the deployment allows
- * @param serviceRules the figures of the rules
- * @param costs what units cost
- * @param endpointListPolled whether the endpoint list comes only on request
- * @param weightKind what endpoint weights mean
- * @param overQuotaWeight the fraction of its class's weight that a request over quota is worth
- * @param endpointsCacheKeys whether an endpoint serves a key faster that it served recently
- * @param clockResolutionNanos the shortest time between two readings of the balancer's clock
+ * @param limits the optional features and resource limits of the deployment
+ * @param serviceRules the parameters of the service's rules
+ * @param costs the cost weights
+ * @param endpointListPolled whether the endpoint list is polled rather than pushed
+ * @param weightKind the meaning of endpoint weights
+ * @param overQuotaWeight the fraction of its priority weight that a request over quota keeps
+ * @param endpointsCacheKeys whether endpoints serve keys that they served recently faster
+ * @param clockResolutionNanos the resolution of the balancer's clock
  */
 public record PolicySettings(
     int instanceIndex,
@@ -35,52 +35,90 @@
     boolean endpointsCacheKeys,
     long clockResolutionNanos) {
 
-  /** Checks every setting. */
+  /**
+   * Checks the ranges of the settings that the policy depends on.
+   *
+   * @throws IllegalArgumentException if a setting is out of range
+   */
   public PolicySettings {
-    check(groupSize > 0, "group size must be above 0");
-    check(!requestClasses.isEmpty(), "classes must not be empty");
+    check(groupSize > 0, "group-size: must be above 0, got " + groupSize);
+    check(!requestClasses.isEmpty(), "categories: must have at least one entry, got 0");
     requestClasses.forEach(PolicySettings::check);
     tenants.forEach(PolicySettings::check);
     check(limits);
     check(serviceRules);
-    check(clockResolutionNanos >= 0, "tick must not be negative");
+    check(
+        clockResolutionNanos >= 0,
+        "resolution-ns: must not be negative, got " + clockResolutionNanos);
   }
 
   private static void check(RequestClass requestClass) {
-    String name = requestClass.name();
-    check(requestClass.latencyObjectiveNanos() > 0, "aim of class " + name + " must be above 0");
-    check(requestClass.deadlineNanos() > 0, "deadline of class " + name + " must be above 0");
+    String ofCategory = " of category " + requestClass.name();
+    check(
+        requestClass.latencyObjectiveNanos() > 0,
+        "aim-ns" + ofCategory + ": must be above 0, got " + requestClass.latencyObjectiveNanos());
+    check(
+        requestClass.deadlineNanos() > 0,
+        "deadline-ns" + ofCategory + ": must be above 0, got " + requestClass.deadlineNanos());
     check(
         requestClass.deduplicationWindowNanos() >= 0,
-        "dedup window of class " + name + " must not be negative");
+        "window-ns"
+            + ofCategory
+            + ": must not be negative, got "
+            + requestClass.deduplicationWindowNanos());
+    check(
+        requestClass.priorityWeight() >= 0,
+        "gain" + ofCategory + ": must not be negative, got " + requestClass.priorityWeight());
     check(
-        requestClass.priorityWeight() >= 0 && requestClass.lateFraction() >= 0,
-        "worth of class " + name + " must not be negative");
+        requestClass.lateFraction() >= 0,
+        "late-worth" + ofCategory + ": must not be negative, got " + requestClass.lateFraction());
   }
 
   private static void check(Tenant tenant) {
+    String ofProject = " of project " + tenant.name();
     check(
-        tenant.capacityShare() >= 0 && tenant.quotaPerSecond() >= 0,
-        "share and quota of tenant " + tenant.name() + " must not be negative");
+        tenant.capacityShare() >= 0,
+        "portion" + ofProject + ": must not be negative, got " + tenant.capacityShare());
+    check(
+        tenant.quotaPerSecond() >= 0,
+        "quota-per-s" + ofProject + ": must not be negative, got " + tenant.quotaPerSecond());
   }
 
   private static void check(Limits limits) {
-    check(limits.maxAttempts() > 0, "max attempts must be above 0");
-    check(limits.maxOpenRequests() > 0, "max open must be above 0");
-    check(limits.maxRetryAfterNanos() >= 0, "max retry-after must not be negative");
+    check(
+        limits.maxAttempts() > 0,
+        "limits.max-attempts: must be above 0, got " + limits.maxAttempts());
+    check(
+        limits.maxOpenRequests() > 0,
+        "limits.most-held: must be above 0, got " + limits.maxOpenRequests());
+    check(
+        limits.maxRetryAfterNanos() >= 0,
+        "limits.max-retry-after-ns: must not be negative, got " + limits.maxRetryAfterNanos());
   }
 
   private static void check(ServiceRules rules) {
-    check(rules.responseSlackNanos() >= 0, "answer slack must not be negative");
-    check(rules.maxPollIntervalNanos() >= 0, "ask-within must not be negative");
-    check(rules.drainGraceNanos() >= 0, "drain grace must not be negative");
+    check(
+        rules.responseSlackNanos() >= 0,
+        "contract.answer-slack-ns: must not be negative, got " + rules.responseSlackNanos());
+    check(
+        rules.maxPollIntervalNanos() >= 0,
+        "contract.ask-within-ns: must not be negative, got " + rules.maxPollIntervalNanos());
+    check(
+        rules.drainGraceNanos() >= 0,
+        "contract.drain-grace-ns: must not be negative, got " + rules.drainGraceNanos());
     check(
         rules.initialCapacityFraction() > 0 && rules.initialCapacityFraction() <= 1,
-        "cold-from must be above 0 and at most 1");
-    check(rules.warmUpNanos() >= 0, "warm-within must not be negative");
+        "contract.cold-from: must be above 0 and at most 1, got "
+            + rules.initialCapacityFraction());
+    check(
+        rules.warmUpNanos() >= 0,
+        "contract.warm-within-ns: must not be negative, got " + rules.warmUpNanos());
+    check(
+        rules.overloadMultiple() > 0,
+        "contract.fall-multiple: must be above 0, got " + rules.overloadMultiple());
     check(
-        rules.overloadMultiple() > 0 && rules.overloadWindowNanos() >= 0,
-        "fall figures must not be negative");
+        rules.overloadWindowNanos() >= 0,
+        "contract.overload-for-ns: must not be negative, got " + rules.overloadWindowNanos());
   }
 
   private static void check(boolean valid, String message) {
--- a/src/test/java/loadbalancer/simulator/SimulatorSessionTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorSessionTest.java
@@ -145,12 +145,15 @@
     WireFormatException noClasses =
         assertThrows(
             WireFormatException.class, () -> repliesTo(PROVISION.replace(REQUEST_CLASS, "")));
-    assertEquals("line 1: settings: classes must not be empty", noClasses.getMessage());
+    assertEquals(
+        "line 1: settings: categories: must have at least one entry, got 0",
+        noClasses.getMessage());
     WireFormatException negativeObjective =
         assertThrows(
             WireFormatException.class,
             () -> repliesTo(PROVISION.replace("\"aim-ns\":400000000", "\"aim-ns\":-4")));
     assertEquals(
-        "line 1: settings: aim of class c must be above 0", negativeObjective.getMessage());
+        "line 1: settings: aim-ns of category c: must be above 0, got -4",
+        negativeObjective.getMessage());
   }
 }
