--- a/src/main/java/loadbalancer/policy/settings/Costs.java
+++ b/src/main/java/loadbalancer/policy/settings/Costs.java
@@ -1,10 +1,10 @@
 package loadbalancer.policy.settings;
 
 /**
- * What a unit of each kind costs, in points of the service's result.
+ * Cost weights, in points of the deployment's score per unit of each quantity.
  *
- * @param crossZone for the fraction of first attempts that cross zones
- * @param waste for the fraction of work that served no answer
- * @param lateFailure for failures that come after the latency objective
+ * @param crossZone the cost of the fraction of first attempts that go to another zone
+ * @param waste the cost of the fraction of work that contributed to no answer
+ * @param lateFailure the cost of failures reported after the latency objective
  */
 public record Costs(double crossZone, double waste, double lateFailure) {}
--- a/src/main/java/loadbalancer/policy/settings/DeduplicationScope.java
+++ b/src/main/java/loadbalancer/policy/settings/DeduplicationScope.java
@@ -1,11 +1,11 @@
 package loadbalancer.policy.settings;
 
-/** The endpoints that drop a repeat of a request with an idempotency key. */
+/** The set of endpoints that recognize, and drop, a repeated idempotency key. */
 public enum DeduplicationScope {
   /** All endpoints. */
   ALL,
-  /** The endpoints of one zone. */
+  /** The endpoints of the zone that received the request first. */
   ZONE,
-  /** The endpoints of one deduplication cell. */
+  /** The endpoints of the deduplication cell that received the request first. */
   CELL
 }
--- a/src/main/java/loadbalancer/policy/settings/Limits.java
+++ b/src/main/java/loadbalancer/policy/settings/Limits.java
@@ -1,19 +1,19 @@
 package loadbalancer.policy.settings;
 
 /**
- * What the deployment allows.
+ * The optional features that the deployment allows, and its resource limits.
  *
  * @param cancellation whether attempts may be cancelled
  * @param healthChecks whether endpoints may be sent health checks
- * @param peerMessages whether balancers may send each other messages
+ * @param peerMessages whether balancers may send messages to each other
  * @param hedging whether a request may have two attempts in flight
- * @param retryAfter whether clients are told how long to wait after a rejection
- * @param maxRetryAfterNanos the longest such wait that clients follow
- * @param maxAttempts the most attempts of one request
- * @param maxOpenRequests the most requests that one balancer holds
- * @param streamsPerConnection how many attempts one connection carries at a time
- * @param connectTimeoutNanos how long a connection may take to come up
- * @param connectionIdleTimeoutNanos when endpoints close an idle connection
+ * @param retryAfter whether rejections tell the client how long to wait
+ * @param maxRetryAfterNanos the longest such wait that clients respect
+ * @param maxAttempts the maximum number of attempts per request
+ * @param maxOpenRequests the maximum number of requests pending in one balancer
+ * @param streamsPerConnection the maximum number of concurrent attempts on one connection
+ * @param connectTimeoutNanos the time-out for establishing a connection
+ * @param connectionIdleTimeoutNanos the idle time after which endpoints close a connection
  */
 public record Limits(
     boolean cancellation,
--- a/src/main/java/loadbalancer/policy/settings/RequestEffect.java
+++ b/src/main/java/loadbalancer/policy/settings/RequestEffect.java
@@ -4,7 +4,10 @@
 public enum RequestEffect {
   /** May run any number of times. */
   IDEMPOTENT,
-  /** Carries an idempotency key: endpoints drop a repeat within a window and a scope. */
+  /**
+   * Carries an idempotency key: the endpoints of a {@link DeduplicationScope} drop a repeat within
+   * the deduplication window.
+   */
   IDEMPOTENT_WITH_KEY,
   /** Must run at most once. */
   NOT_IDEMPOTENT
--- a/src/main/java/loadbalancer/policy/settings/WeightKind.java
+++ b/src/main/java/loadbalancer/policy/settings/WeightKind.java
@@ -1,13 +1,15 @@
 package loadbalancer.policy.settings;
 
-/** What the weight of an endpoint means. */
+/** The meaning of the endpoints' weights. */
 public enum WeightKind {
-  /** Nothing: every weight is 1. */
+  /** Weights are not used: each is 1. */
   NONE,
   /** The endpoint's registered size. */
   NOMINAL,
   /** The endpoint's approximate size. */
   ROUGH,
-  /** The size divided by one plus the requests in flight for each core, sampled a while ago. */
+  /**
+   * The endpoint's size, divided by one plus its requests in flight per core, as sampled earlier.
+   */
   LIVE
 }
--- a/src/main/java/loadbalancer/policy/settings/package-info.java
+++ b/src/main/java/loadbalancer/policy/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The settings that a policy is made with, as immutable and checked values. */
+/** The settings of a policy, as records that are checked when the policy's settings are built. */
 package loadbalancer.policy.settings;
