--- a/src/test/java/loadbalancer/policy/Durations.java
+++ b/src/test/java/loadbalancer/policy/Durations.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-/** Durations and clock readings in nanoseconds, as the policy takes them. */
+/** Converts durations and clock readings to nanoseconds, the unit of the policy. */
 final class Durations {
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
--- a/src/test/java/loadbalancer/policy/LatencyRateLimiterTest.java
+++ b/src/test/java/loadbalancer/policy/LatencyRateLimiterTest.java
@@ -11,21 +11,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Admission by the latency-to-rate line, and which latencies it counts. */
+/** The latency-based rate limiter, and the latency samples that admission passes to it. */
 class LatencyRateLimiterTest {
 
-  private static double publishedAllowedRate(double meanMillis) {
+  private static double exampleAllowedRate(double meanMillis) {
     return new LatencyRateLimiter(300, 18_000).allowedRate(meanMillis, 240, 4);
   }
 
   @Test
-  void allowedRateIsThePublishedLine() {
-    assertEquals(240, publishedAllowedRate(0));
-    assertEquals(240, publishedAllowedRate(300));
-    assertEquals(177.3, publishedAllowedRate(5000), 0.1);
-    assertEquals(122, publishedAllowedRate(9150), 0.001);
-    assertEquals(4, publishedAllowedRate(18_000));
-    assertEquals(4, publishedAllowedRate(99_000));
+  void allowedRateMatchesPublishedExample() {
+    assertEquals(240, exampleAllowedRate(0));
+    assertEquals(240, exampleAllowedRate(300));
+    assertEquals(177.3, exampleAllowedRate(5000), 0.1);
+    assertEquals(122, exampleAllowedRate(9150), 0.001);
+    assertEquals(4, exampleAllowedRate(18_000));
+    assertEquals(4, exampleAllowedRate(99_000));
   }
 
   @Test
@@ -35,33 +35,33 @@
   }
 
   @Test
-  void overloadIsRejected() {
+  void overloadCausesRejections() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(5);
     driver.rejectedFraction(300, 2, millis(40), AttemptStatus.SERVED);
     assertTrue(driver.rejectedFraction(600, 30, millis(700), AttemptStatus.SERVED) > 0.2);
   }
 
-  /** Without quotas nobody else relieves a fleet that has collapsed. */
+  /** Without quotas, only rejecting requests relieves a fleet that has collapsed. */
   @Test
-  void highLatencyIsRejectedWithoutQuotasThoughFewRequestsAreInFlight() {
+  void withoutQuotasHighLatencyCausesRejectionsEvenWithFewRequestsInFlight() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(5);
     driver.rejectedFraction(2000, 10, millis(40), AttemptStatus.SERVED);
     assertTrue(driver.rejectedFraction(300, 4, millis(390), AttemptStatus.SERVED) > 0.2);
   }
 
   @Test
-  void localDelayIsNotTakenForOverload() {
+  void localDelayCausesNoRejections() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(5);
     for (int i = 0; i < 500; i++) {
       driver.requestArrives(driver.nextRequestId(), "k" + i % 50);
       driver.advanceCompletingAttempts(millis(8), AttemptStatus.SERVED, millis(320), millis(40));
     }
-    assertEquals(List.of(), driver.rejected(), "40 ms at an endpoint, 280 ms in this balancer");
+    assertEquals(List.of(), driver.rejected(), "40 ms at the endpoint and 280 ms in this balancer");
   }
 
   @ParameterizedTest
   @EnumSource(names = {"RESET", "ERROR"})
-  void resetsAndErrorsAreNotTakenForOverload(AttemptStatus failure) {
+  void fewResetsOrErrorsCauseNoRejections(AttemptStatus failure) {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(5);
     for (int i = 0; i < 1_000; i++) {
       driver.requestArrives(driver.nextRequestId(), "k" + i % 50);
@@ -71,10 +71,10 @@
     assertEquals(
         0,
         driver.rejected("r"),
-        "a tenth of the attempts fails, at a quarter of the latency objective");
+        "a tenth of the attempts fails after a quarter of the latency objective");
   }
 
-  /** Fast failures would pull the mean down and leave the allowed rate at its maximum. */
+  /** Counted with their real latency, fast errors would lower the mean and prevent rejections. */
   @Test
   void fastErrorsCountAsCriticalLatency() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(5);
@@ -82,9 +82,9 @@
     assertTrue(rejected > 0.3, "rejected " + rejected);
   }
 
-  /** Counted as its class's deadline, a lost attempt would be taken for an overload. */
+  /** Counted with the class's deadline, a few lost attempts would look like an overload. */
   @Test
-  void timeoutCountsAsTheLatencyThatItsClientWaited() {
+  void timeoutCountsWithTheTimeThatTheClientAllowed() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(5);
     for (int i = 0; i < 1_000; i++) {
       String requestId = i % 10 == 5 ? "lost" + i : driver.nextRequestId();
@@ -110,42 +110,49 @@
     assertEquals(
         0,
         driver.rejected("r"),
-        "of those served in a tenth of the latency objective; a tenth of all is lost");
+        "rejections of requests that take a tenth of the latency objective; a tenth of all is"
+            + " lost");
   }
 
   /**
-   * Where each window holds a request or two, the first of each must not pass for lack of samples.
+   * With one or two requests per window, the first of each must not be admitted for lack of
+   * samples.
    */
   @Test
-  void sparseSamplesRejectByThoseOfEarlierWindows() {
+  void sparseTrafficIsRejectedBySamplesOfEarlierWindows() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(20);
-    int admittedLate = 0;
+    int admittedOfLast40 = 0;
     for (int i = 0; i < 60; i++) {
       long endpointId =
           PolicyDriver.forwardedTo(driver.requestArrives(driver.nextRequestId(), "k" + i));
       driver.advanceCompletingAttempts(millis(700), AttemptStatus.SERVED, millis(690));
-      admittedLate += i >= 20 && endpointId != PolicyDriver.NOT_FORWARDED ? 1 : 0;
+      admittedOfLast40 += i >= 20 && endpointId != PolicyDriver.NOT_FORWARDED ? 1 : 0;
     }
-    assertTrue(admittedLate < 15, "admitted of the last 40 at well over maxValue: " + admittedLate);
+    assertTrue(
+        admittedOfLast40 < 15,
+        "admitted of the last 40 at well over the critical latency: " + admittedOfLast40);
   }
 
-  /** Only admitted requests bring samples, so a limiter that rejects all would never recover. */
+  /** Only admitted requests yield samples, so a limiter that rejects all would never recover. */
   @Test
-  void limiterNeverRejectsForLongerThanAMeanTakes() {
+  void consecutiveRejectionsAreBounded() {
     PolicyDriver driver = PolicyDriver.withReadyEndpoints(60);
     driver.rejectedFraction(60, 2, millis(40), AttemptStatus.SERVED);
-    int rejectedInARow = 0;
-    int maxRejectedInARow = 0;
+    int consecutiveRejections = 0;
+    int maxConsecutiveRejections = 0;
     for (int i = 0; i < 300; i++) {
       long endpointId =
           PolicyDriver.forwardedTo(driver.requestArrives(driver.nextRequestId(), "k" + i % 50));
-      rejectedInARow = endpointId == PolicyDriver.NOT_FORWARDED ? rejectedInARow + 1 : 0;
-      maxRejectedInARow = Math.max(maxRejectedInARow, rejectedInARow);
+      consecutiveRejections =
+          endpointId == PolicyDriver.NOT_FORWARDED ? consecutiveRejections + 1 : 0;
+      maxConsecutiveRejections = Math.max(maxConsecutiveRejections, consecutiveRejections);
       driver.advanceCompletingAttempts(millis(100), AttemptStatus.SERVED, millis(900));
     }
     assertTrue(
-        maxRejectedInARow >= 5, "well over maxValue: rejected in a row " + maxRejectedInARow);
+        maxConsecutiveRejections >= 5,
+        "rejected in a row at well over the critical latency: " + maxConsecutiveRejections);
     assertTrue(
-        maxRejectedInARow < 15, "rejected without an attempt in between: " + maxRejectedInARow);
+        maxConsecutiveRejections < 15,
+        "rejected in a row, without a new sample: " + maxConsecutiveRejections);
   }
 }
--- a/src/test/java/loadbalancer/policy/SlidingWindowTest.java
+++ b/src/test/java/loadbalancer/policy/SlidingWindowTest.java
@@ -5,11 +5,11 @@
 import loadbalancer.policy.SlidingWindow.Metric;
 import org.junit.jupiter.api.Test;
 
-/** What a window counts, and when it forgets it. */
+/** Totals, means, expiry and lookback of a sliding window. */
 class SlidingWindowTest {
 
   @Test
-  void totalsAndMeanLeaveOutWhatIsOlderThanTheWindow() {
+  void totalsAndMeanExcludeValuesOlderThanTheWindow() {
     SlidingWindow window = new SlidingWindow(1200, 0);
     assertEquals(0, window.mean(0, 1), "an empty window is healthy");
     window.add(0, Metric.ADMITTED, 1);
@@ -24,28 +24,36 @@
     assertEquals(0, window.mean(90_000, 1), 1e-9);
   }
 
-  /** A mean left over from an overload would reject for as long as no new samples come. */
+  /** A stale mean left over from an overload would cause rejections until new samples arrive. */
   @Test
-  void lookbackOfSeveralWindowsIsForgottenOverAPauseOfAnyLength() {
+  void totalsOfWindowWithLookbackExpireAfterPauseOfAnyLength() {
     for (long pause = 1200; pause <= 20_000; pause += 100) {
       SlidingWindow window = new SlidingWindow(1200, 5, 0);
       for (long now = 10_000; now < 11_200; now += 100) {
         window.add(now, Metric.SAMPLES, 1);
         window.add(now, Metric.LATENCY, 3);
       }
-      assertEquals(0, window.total(11_100 + pause, Metric.SAMPLES), 1e-9, "after " + pause);
-      assertEquals(0, window.total(11_100 + pause, Metric.LATENCY), 1e-9, "after " + pause);
+      assertEquals(
+          0,
+          window.total(11_100 + pause, Metric.SAMPLES),
+          1e-9,
+          "samples after a pause of " + pause);
+      assertEquals(
+          0,
+          window.total(11_100 + pause, Metric.LATENCY),
+          1e-9,
+          "latency after a pause of " + pause);
     }
   }
 
   @Test
-  void meanLooksBackOnlyWhereTheLastWindowHoldsTooFewSamples() {
+  void meanLooksBackOnlyIfLastWindowHoldsTooFewSamples() {
     SlidingWindow window = new SlidingWindow(1200, 5, 0);
     window.add(1_000, Metric.SAMPLES, 1);
     window.add(1_000, Metric.LATENCY, 8);
     window.add(3_000, Metric.SAMPLES, 1);
     window.add(3_000, Metric.LATENCY, 2);
     assertEquals(2, window.mean(3_000, 1), 1e-9, "one sample is enough");
-    assertEquals(5, window.mean(3_000, 2), 1e-9, "two samples, one of them older than a window");
+    assertEquals(5, window.mean(3_000, 2), 1e-9, "two samples, one of them older than the window");
   }
 }
--- a/src/test/java/loadbalancer/policy/TenantQuotasTest.java
+++ b/src/test/java/loadbalancer/policy/TenantQuotasTest.java
@@ -9,7 +9,7 @@
 import loadbalancer.policy.settings.Tenant;
 import org.junit.jupiter.api.Test;
 
-/** Which requests are over their tenant's quota, and what that means for their admission. */
+/** Which requests are over their tenant's quota, and how this affects their admission. */
 class TenantQuotasTest {
 
   private static PolicyDriver driverFor(int endpoints, Tenant... tenants) {
@@ -25,21 +25,21 @@
       }
       driver.advanceCompletingAttempts(millis(20), AttemptStatus.SERVED, millis(140));
     }
-    assertTrue(driver.rejected("big") > 300, "over quota: " + driver.rejected("big"));
-    assertEquals(0, driver.rejected("small"), "inside the quota nothing is rejected");
+    assertTrue(driver.rejected("big") > 300, "rejected over quota: " + driver.rejected("big"));
+    assertEquals(0, driver.rejected("small"), "nothing within quota is rejected");
   }
 
-  /** A latency that this balancer's load did not cause: a slow dependency, say. */
+  /** The balancer's own load does not cause this latency; a slow dependency may, for example. */
   @Test
-  void nothingInsideAQuotaIsRejectedWhileNoMoreThanUsualIsInFlight() {
+  void withinQuotaHighLatencyAtUsualLoadCausesNoRejections() {
     PolicyDriver driver = driverFor(5, new Tenant("t", 1, 1000));
     driver.rejectedFraction("t", 2000, 10, millis(40), AttemptStatus.SERVED);
     assertEquals(0, driver.rejectedFraction("t", 300, 4, millis(390), AttemptStatus.SERVED), 0.02);
   }
 
-  /** In a quota divided among many balancers, two requests close together are chance. */
+  /** With a quota divided among many balancers, two requests in quick succession are chance. */
   @Test
-  void smallQuotaAdmitsAFewRequestsAtOnce() {
+  void smallQuotaAllowsAShortBurst() {
     PolicyDriver driver = driverFor(8, new Tenant("t", 1, 1));
     for (int i = 0; i < 20; i++) {
       driver.requestArrives(driver.nextRequestId(), "t", "k" + i, 0);
--- a/src/test/java/loadbalancer/policy/TestSettings.java
+++ b/src/test/java/loadbalancer/policy/TestSettings.java
@@ -14,15 +14,15 @@
 import loadbalancer.policy.settings.WeightKind;
 
 /**
- * Builds the settings of a test: one balancer in zone a with one class of idempotent requests
- * (latency objective 400 ms), a pushed endpoint list and no tenants, changed where a test needs it.
+ * Builds policy settings for tests. The defaults are one balancer in zone a, one class of
+ * idempotent requests with a latency objective of 400 ms, a pushed endpoint list and no tenants.
  */
 final class TestSettings {
 
   /** The name of the only request class. */
   static final String REQUEST_CLASS = "c";
 
-  /** How long clients wait, over all their retries. */
+  /** How long clients wait for a response, including their own retries. */
   static final long DEADLINE_NANOS = millis(2000);
 
   private static final long MAX_POLL_INTERVAL_NANOS = millis(10_000);
@@ -45,7 +45,7 @@
   private double crossZoneCost;
   private boolean endpointListPolled;
 
-  /** The settings without any change. */
+  /** Returns the default settings. */
   static PolicySettings defaults() {
     return new TestSettings().build();
   }
@@ -64,7 +64,7 @@
         /* streamed= */ false);
   }
 
-  /** Makes this the settings of one balancer of a group. */
+  /** Sets the balancer's place in its group, and its zone. */
   TestSettings balancer(int newInstanceIndex, int newGroupSize, String newZone) {
     instanceIndex = newInstanceIndex;
     groupSize = newGroupSize;
@@ -72,6 +72,7 @@
     return this;
   }
 
+  /** Sets the effect and deduplication scope of the request class. */
   TestSettings requests(RequestEffect effect, DeduplicationScope scope) {
     requestClass = requestClass(effect, scope);
     return this;
@@ -96,7 +97,7 @@
     return this;
   }
 
-  /** Has the endpoint list come on request only. */
+  /** Sets that the endpoint list is polled rather than pushed. */
   TestSettings endpointListPolled() {
     endpointListPolled = true;
     return serviceRules(serviceRules.responseSlackNanos(), MAX_POLL_INTERVAL_NANOS);
