--- a/src/main/java/loadbalancer/policy/InFlightTime.java
+++ b/src/main/java/loadbalancer/policy/InFlightTime.java
@@ -93,7 +93,7 @@
    * Returns whether so few attempts are in flight per ready endpoint that their present number says
    * little about the load.
    */
-  boolean isSparse(int readyEndpoints, long nowNanos) {
+  boolean isTrafficSparse(int readyEndpoints, long nowNanos) {
     return fleet.total(nowNanos, Metric.LATENCY)
         < SPARSE_IN_FLIGHT_PER_ENDPOINT * readyEndpoints * HISTORY_NANOS;
   }
