--- a/src/main/java/loadbalancer/proxy/transport/PeekableSocketChannel.java
+++ b/src/main/java/loadbalancer/proxy/transport/PeekableSocketChannel.java
@@ -7,43 +7,45 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * The socket of a connection to a client or an upstream, which can be asked what the event loop has
- * not read yet. For the event loop's thread only.
+ * A socket channel that can be checked for input that the event loop has not read yet. The checks
+ * read from the socket directly and discard what they read. They must run on the channel's event
+ * loop.
  */
 public final class PeekableSocketChannel extends NioSocketChannel {
 
-  /** Returned in place of a number of bytes where the peer has closed, or the connection broke. */
+  /** Returned instead of a number of bytes if the peer has closed or the connection has failed. */
   private static final int END_OF_STREAM = -1;
 
   private static final int SKIP_BUFFER_BYTES = 4096;
 
-  /** Makes a socket that is to be connected. */
+  /** Creates a channel that is not connected yet. */
   public PeekableSocketChannel() {}
 
   /**
-   * Makes the channel of an accepted socket.
+   * Creates the channel of an accepted connection.
    *
-   * @param listener the channel that accepted it
-   * @param socket the socket
+   * @param listener the server channel that accepted the connection
+   * @param socket the accepted socket
    */
   public PeekableSocketChannel(Channel listener, SocketChannel socket) {
     super(listener, socket);
   }
 
   /**
-   * Whether the connection is up and nothing waits unread on it, neither bytes nor the peer's end.
-   * Drops the first unread byte, so a connection on which something waits is not to be read again.
+   * Whether the connection is open and has no unread input, neither bytes nor the end of the
+   * stream. Discards the first unread byte, so the connection must not be used after a false
+   * result.
    */
-  public boolean isOpenWithNothingUnread() {
+  public boolean isOpenWithNoUnreadInput() {
     return skipOneByte() == 0;
   }
 
   /**
-   * Drops unread bytes.
+   * Discards unread bytes. Does not block.
    *
-   * @param maxBytes the most bytes to drop, above 0
-   * @return the number of bytes dropped, 0 where nothing waits, or -1 where the peer's end was
-   *     reached or the connection is broken
+   * @param maxBytes the largest number of bytes to discard, above 0
+   * @return the number of discarded bytes, 0 if there are none, or -1 if the end of the stream was
+   *     reached or the connection has failed
    */
   public int skip(int maxBytes) {
     int skipped = skipOneByte();
@@ -69,7 +71,7 @@
     return skipped;
   }
 
-  /** Separate from {@link #skip}, so that a socket with nothing unread costs no large buffer. */
+  /** Uses a buffer of one byte, so that a check of a socket without unread input stays cheap. */
   private int skipOneByte() {
     try {
       return isActive() ? javaChannel().read(ByteBuffer.allocate(1)) : END_OF_STREAM;
--- a/src/main/java/loadbalancer/proxy/upstream/AttemptPlan.java
+++ b/src/main/java/loadbalancer/proxy/upstream/AttemptPlan.java
@@ -2,17 +2,19 @@
 
 import java.util.function.BooleanSupplier;
 import loadbalancer.proxy.http.ClientRequest;
+import loadbalancer.proxy.transport.EpochClock;
 
 /**
- * The policy's decision to forward a request, as one attempt carries it out.
+ * One attempt that the policy has decided to make: the request, its endpoint and its timeout.
  *
  * @param index the attempt's index, counted from 0 in forwarding order
  * @param endpointId the endpoint that the request is forwarded to
- * @param request the request
- * @param decidedAtNanos when the policy decided, on the balancer's clock
- * @param timeoutNanos how long the attempt may take from then on
- * @param mayStillForward asked on the event loop right before the first byte is written, which may
- *     be a connect later than the decision; if false, nothing is sent
+ * @param request the client's request
+ * @param decidedAtNanos when the policy made the decision, on the {@link EpochClock}
+ * @param timeoutNanos the attempt's timeout, counted from the decision
+ * @param mayStillForward evaluated on the event loop immediately before the request is written. A
+ *     connection may have to be opened between the decision and the write; if the condition no
+ *     longer holds, nothing is sent.
  */
 public record AttemptPlan(
     int index,
--- a/src/main/java/loadbalancer/proxy/upstream/ConnectionLimits.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ConnectionLimits.java
@@ -1,11 +1,12 @@
 package loadbalancer.proxy.upstream;
 
 /**
- * Limits on the connections to all upstreams together.
+ * Limits that apply to the connections to all upstreams taken together.
  *
- * @param connectTimeoutNanos how long a connection may take to come up
- * @param idleTimeoutNanos when upstreams close an idle connection
- * @param maxConnections the most connections, idle ones and those coming up included
+ * @param connectTimeoutNanos the time allowed for opening a connection
+ * @param idleTimeoutNanos the time after which upstreams close an idle connection
+ * @param maxConnections the largest number of connections, including idle ones and those being
+ *     opened
  */
 public record ConnectionLimits(
     long connectTimeoutNanos, long idleTimeoutNanos, int maxConnections) {}
--- a/src/main/java/loadbalancer/proxy/upstream/EndpointConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/EndpointConnectionPool.java
@@ -7,27 +7,28 @@
 import java.util.Optional;
 
 /**
- * The idle connections to one upstream, each for one request at a time; the one used last is reused
- * first. A pool belongs to an upstream and not to its address: a successor at the same address must
- * not inherit connections. All state belongs to the event loop.
+ * The idle connections to one upstream. Each connection carries one request at a time, and the most
+ * recently used one is reused first. A pool belongs to an upstream and not to its address: an
+ * upstream that replaces another at the same address must not inherit its connections. Not
+ * thread-safe: used on the event loop only.
  */
 final class EndpointConnectionPool {
 
   private final UpstreamConnectionPools allPools;
   private final InetSocketAddress address;
 
-  /** The connection that became idle last comes first. */
+  /** Ordered by the time at which a connection became idle, the most recent first. */
   private final ArrayDeque<UpstreamConnection> idleConnections = new ArrayDeque<>();
 
   private boolean isClosed;
 
-  /** When anything last came from the upstream, by {@link System#nanoTime}. */
+  /** When bytes were last received on any connection of the pool, by {@link System#nanoTime}. */
   private long lastReceivedNanos = System.nanoTime();
 
   /**
-   * Makes an empty pool.
+   * Creates an empty pool.
    *
-   * @param allPools opens connections within the common limit
+   * @param allPools opens connections within the limit for all upstreams
    * @param address the upstream's address
    */
   EndpointConnectionPool(UpstreamConnectionPools allPools, InetSocketAddress address) {
@@ -35,30 +36,30 @@
     this.address = address;
   }
 
-  /** The upstream's address. */
+  /** The address that the pool's connections are opened to. */
   InetSocketAddress address() {
     return address;
   }
 
   /**
-   * Takes the idle connection that was used last out of the pool, or returns null where there is
-   * none. Closes those that it finds unusable.
+   * Removes the most recently used idle connection from the pool and returns it, or returns null if
+   * there is none. Connections that can no longer be used are closed on the way.
    */
   UpstreamConnection acquireIdle() {
-    UpstreamConnection newest = idleConnections.pollFirst();
-    while (newest != null && !newest.isReusable()) {
-      newest.close();
-      newest = idleConnections.pollFirst();
+    UpstreamConnection connection = idleConnections.pollFirst();
+    while (connection != null && !connection.isReusable()) {
+      connection.close();
+      connection = idleConnections.pollFirst();
     }
-    return newest;
+    return connection;
   }
 
-  /** Opens a connection; empty where no connection is left within the limits. */
+  /** Opens a connection; empty if a limit on connections has been reached. */
   Optional<ChannelFuture> connect() {
     return allPools.connect(this);
   }
 
-  /** Takes back a connection with no request on it; a closed pool closes it. */
+  /** Returns a connection without a request to the pool; if the pool is closed, closes it. */
   void release(UpstreamConnection connection) {
     if (isClosed) {
       connection.close();
@@ -68,31 +69,31 @@
     idleConnections.addFirst(connection);
   }
 
-  /** Removes a connection that has closed. */
+  /** Removes a connection that has been closed. */
   void remove(UpstreamConnection connection) {
     idleConnections.remove(connection);
   }
 
-  /** Records that bytes came from the upstream, on any connection. */
+  /** Records that bytes were received on one of the pool's connections. */
   void recordReceived() {
     lastReceivedNanos = System.nanoTime();
   }
 
-  /** Whether anything came from the upstream, on any connection, within this time. */
+  /** Whether bytes were received on any connection of the pool within this time before now. */
   boolean hasReceivedWithin(long nanos) {
     return System.nanoTime() - lastReceivedNanos < nanos;
   }
 
-  /** Closes the idle connections; the pool stays open. */
+  /** Closes all idle connections; the pool stays open. */
   void closeIdle() {
-    List<UpstreamConnection> closing = List.copyOf(idleConnections);
+    List<UpstreamConnection> connectionsToClose = List.copyOf(idleConnections);
     idleConnections.clear();
-    closing.forEach(UpstreamConnection::close);
+    connectionsToClose.forEach(UpstreamConnection::close);
   }
 
   /**
-   * Closes the pool of an upstream that was removed or has moved: idle connections now, the others
-   * when they are released.
+   * Closes the pool, because its upstream was removed or has a new address. Idle connections are
+   * closed immediately, the others when they are released.
    */
   void close() {
     isClosed = true;
@@ -100,7 +101,7 @@
     allPools.remove(this);
   }
 
-  /** Closes connections that have been idle since this time, by {@link System#nanoTime}. */
+  /** Closes the connections that were already idle at this {@link System#nanoTime}. */
   void closeIdleSince(long nanoTime) {
     while (!idleConnections.isEmpty()
         && idleConnections.peekLast().idleSinceNanos() - nanoTime <= 0) {
@@ -108,7 +109,7 @@
     }
   }
 
-  /** The connection that has been idle longest, or null. */
+  /** The connection that has been idle longest, or null if none is idle. */
   UpstreamConnection longestIdle() {
     return idleConnections.peekLast();
   }
--- a/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
+++ b/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
@@ -9,8 +9,8 @@
 import loadbalancer.policy.event.EndpointDescriptor;
 
 /**
- * The upstreams that the endpoint list names, and removed ones while attempts to them are in
- * flight. All state belongs to the event loop.
+ * The endpoints of the endpoint list, and removed endpoints until the attempts to them have
+ * completed. Not thread-safe: used on the event loop only.
  */
 public final class EndpointTable {
 
@@ -18,38 +18,38 @@
   private final Map<Long, UpstreamEndpoint> endpoints = new HashMap<>();
 
   /**
-   * Makes an empty table.
+   * Creates an empty table.
    *
-   * @param pools makes the connection pools of the table's endpoints
+   * @param pools creates the connection pools of the table's endpoints
    */
   public EndpointTable(UpstreamConnectionPools pools) {
     this.pools = pools;
   }
 
   /**
-   * The endpoint with this identifier; null where the list never named it, or it was removed and no
-   * attempt to it is in flight.
+   * Returns the endpoint with this identifier, or null if the list has never contained it or it was
+   * removed and has no attempts in flight.
    */
   public UpstreamEndpoint find(long endpointId) {
     return endpoints.get(endpointId);
   }
 
-  /** The number of endpoints, removed ones with attempts in flight included. */
+  /** The number of endpoints, including removed ones with attempts in flight. */
   int size() {
     return endpoints.size();
   }
 
-  /** Applies the changed entries of an endpoint list. */
-  public void applyChanges(List<EndpointList.Endpoint> changed) {
-    changed.forEach(this::apply);
+  /** Applies a partial update of the endpoint list, which contains the changed entries only. */
+  public void applyChanges(List<EndpointList.Endpoint> changedEntries) {
+    changedEntries.forEach(this::apply);
   }
 
-  /** Applies a full endpoint list: endpoints that it does not name are removed. */
-  public void applyFullList(List<EndpointList.Endpoint> listed) {
+  /** Applies a full endpoint list; endpoints that it does not contain are removed. */
+  public void applyFullList(List<EndpointList.Endpoint> allEntries) {
     Set<Long> listedIds = new HashSet<>();
-    for (EndpointList.Endpoint host : listed) {
-      listedIds.add(host.descriptor().endpointId());
-      apply(host);
+    for (EndpointList.Endpoint entry : allEntries) {
+      listedIds.add(entry.descriptor().endpointId());
+      apply(entry);
     }
     for (UpstreamEndpoint endpoint : List.copyOf(endpoints.values())) {
       if (!listedIds.contains(endpoint.descriptor().endpointId())) {
@@ -58,16 +58,16 @@
     }
   }
 
-  private void apply(EndpointList.Endpoint host) {
-    EndpointDescriptor descriptor = host.descriptor();
+  private void apply(EndpointList.Endpoint entry) {
+    EndpointDescriptor descriptor = entry.descriptor();
     UpstreamEndpoint endpoint = endpoints.get(descriptor.endpointId());
     if (endpoint == null) {
-      endpoint = new UpstreamEndpoint(descriptor, pools.createPool(host.address()));
+      endpoint = new UpstreamEndpoint(descriptor, pools.createPool(entry.address()));
       endpoints.put(descriptor.endpointId(), endpoint);
-    } else if (endpoint.isRemoved() || !endpoint.pool().address().equals(host.address())) {
-      endpoint.replacePool(pools.createPool(host.address()));
+    } else if (endpoint.isRemoved() || !endpoint.pool().address().equals(entry.address())) {
+      endpoint.replacePool(pools.createPool(entry.address()));
     }
-    endpoint.describe(descriptor);
+    endpoint.updateDescriptor(descriptor);
     if (endpoint.isRemoved()) {
       remove(endpoint);
     }
@@ -75,24 +75,22 @@
 
   private void remove(UpstreamEndpoint endpoint) {
     endpoint.remove();
-    forgetIfUnused(endpoint);
+    deleteIfUnused(endpoint);
   }
 
-  /**
-   * Records that an attempt to the endpoint is in flight; the endpoint is kept until it completes.
-   */
+  /** Records the start of an attempt; the endpoint is kept until the attempt completes. */
   public void attemptStarted(UpstreamEndpoint endpoint) {
     endpoint.attemptStarted();
   }
 
-  /** Records that an attempt to the endpoint has completed; once for each one started. */
+  /** Records the completion of an attempt; called once for each started attempt. */
   public void attemptCompleted(UpstreamEndpoint endpoint) {
     endpoint.attemptCompleted();
-    forgetIfUnused(endpoint);
+    deleteIfUnused(endpoint);
   }
 
-  /** Bounds the table where upstreams are replaced all day under new identifiers. */
-  private void forgetIfUnused(UpstreamEndpoint endpoint) {
+  /** Keeps the table bounded when upstreams are continually replaced under new identifiers. */
+  private void deleteIfUnused(UpstreamEndpoint endpoint) {
     if (endpoint.isRemoved() && !endpoint.hasAttemptsInFlight()) {
       endpoints.remove(endpoint.descriptor().endpointId(), endpoint);
     }
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseDecoder.java
@@ -11,33 +11,33 @@
 import loadbalancer.proxy.transport.RawBytesFilter;
 
 /**
- * Decodes responses as strictly as requests are decoded, and offers the raw bytes to a filter
- * first: what arrives where no response is due is never decoded.
+ * Decodes responses as strictly as requests. Received bytes pass through a filter first, so that
+ * bytes that arrive when no response is expected are never decoded.
  *
- * <p>Netty tolerates malformed header lines in responses only: a line "no colon here" would become
- * a header named "no".
+ * <p>By default Netty rejects malformed header lines in requests but accepts them in responses: the
+ * line "no colon here" would become a header named "no".
  */
 final class ResponseDecoder extends HttpResponseDecoder {
 
   private RawBytesFilter filter;
 
   /**
-   * Set from a response's status line to its last content; the status line itself may end in a
-   * space where it gives no reason phrase.
+   * True from the end of a response's status line to its last content. The status line itself is
+   * not read strictly: without a reason phrase it may end with a space.
    */
   private boolean isPastStatusLine;
 
-  /** Makes a decoder; its filter is to be set before the first read. */
+  /** Creates a decoder; {@link #setFilter} must be called before the first read. */
   ResponseDecoder() {
     super(new HttpDecoderConfig().setStrictLineParsing(true));
   }
 
-  /** Sets the filter of raw bytes; to be called before the first read. */
+  /** Sets the filter that received bytes pass through; must be called before the first read. */
   void setFilter(RawBytesFilter rawBytesFilter) {
     filter = rawBytesFilter;
   }
 
-  /** Whether bytes are left that belong to no message decoded so far. */
+  /** Whether received bytes are buffered that have not been decoded into a message. */
   boolean hasUndecodedBytes() {
     return actualReadableBytes() > 0;
   }
@@ -49,8 +49,9 @@
   }
 
   /**
-   * Decides how strictly header lines are read. Also says that a message without a length has no
-   * body, which has no effect here: such a response is rejected by its head.
+   * Returns true while header lines are read, which makes Netty apply its strict rules for
+   * requests. Netty then also assumes that a message without a length has no body. This has no
+   * effect, because {@link ResponseHeadValidator} rejects a response without a length.
    */
   @Override
   protected boolean isDecodingRequest() {
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseHeadValidator.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseHeadValidator.java
@@ -11,18 +11,19 @@
 import loadbalancer.policy.event.AttemptStatus;
 import loadbalancer.proxy.http.UpstreamResponse;
 
-/** Checks of a response's head, and the attempt status that it stands for. */
+/** Validates the head of a response and derives the attempt's status from it. Stateless. */
 final class ResponseHeadValidator {
 
-  /** Set by an upstream on a response to a request that it has not processed. */
+  /** Set to {@code 1} by an upstream on the response to a request that it has not processed. */
   private static final String UNPROCESSED_HEADER = "X-Unprocessed";
 
   private ResponseHeadValidator() {}
 
   /**
-   * Whether the head says in exactly one way where the body ends, and within the protocol's limit;
-   * otherwise a complete response cannot be told from a truncated one. The codec rejects two
-   * lengths, and a length beside chunked coding, in HTTP/1.1 only, so no other version is valid.
+   * Whether the head determines the end of the body in exactly one way, and a stated length is
+   * within {@link UpstreamResponse#MAX_BODY_BYTES}. Otherwise a complete response could not be
+   * distinguished from a truncated one. Only HTTP/1.1 is valid: for other versions, Netty accepts
+   * two lengths, or a length together with chunked coding.
    */
   static boolean isValid(HttpResponse head) {
     if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)
@@ -42,14 +43,14 @@
         && HttpUtil.getContentLength(head) <= UpstreamResponse.MAX_BODY_BYTES;
   }
 
-  /** Whether this is an interim response (1xx), which comes ahead of the final one. */
+  /** Whether this is the head of an interim response (1xx), which precedes the final one. */
   static boolean isInterim(HttpResponse head) {
     return head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
   }
 
   /**
-   * How an attempt ended that got this final response. Only {@code X-Unprocessed} proves that the
-   * request never ran; a bare 503 may stand for one that did.
+   * The status of an attempt that received this final response. Only {@code X-Unprocessed} proves
+   * that the request never ran; a 503 without it may follow a request that did run.
    */
   static AttemptStatus statusOf(HttpResponse head) {
     int code = head.status().code();
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseReader.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseReader.java
@@ -14,14 +14,14 @@
 import loadbalancer.proxy.http.UpstreamResponse;
 
 /**
- * Puts together the response to one request at a time of an upstream connection, and records input
- * that cannot be part of it. All state belongs to the event loop.
+ * Assembles the responses on an upstream connection, one at a time, and detects input that is not
+ * part of a valid response. Not thread-safe: used on the event loop only.
  */
 final class ResponseReader {
 
   private static final byte[] STATUS_LINE_START = "HTTP/1.1 ".getBytes(StandardCharsets.US_ASCII);
 
-  /** More interim responses ahead of the final one than this make the response malformed. */
+  /** A response that is preceded by more interim responses is treated as malformed. */
   private static final int MAX_INTERIM_RESPONSES = 10;
 
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -31,7 +31,7 @@
   private boolean isComplete;
   private boolean hasUnexpectedInput;
 
-  /** Starts the response to a request that is about to be written. */
+  /** Prepares for the response to a request that is about to be written. */
   void expectResponse() {
     head = null;
     receivedBytes = 0;
@@ -41,20 +41,20 @@
   }
 
   /**
-   * Whether these bytes can be part of the response that is due. Bytes that a response cannot begin
-   * with are found here, since the decoder would wait for the end of the line.
+   * Whether these raw bytes can be part of the expected response. The start of the status line is
+   * checked here, because the decoder reports an invalid one only at the end of the line.
    */
   boolean acceptBytes(ByteBuf bytes) {
     if (isComplete || hasUnexpectedInput) {
       hasUnexpectedInput = true;
       return false;
     }
-    hasUnexpectedInput = !continuesStatusLine(bytes);
+    hasUnexpectedInput = !matchesStatusLineStart(bytes);
     receivedBytes += bytes.readableBytes();
     return !hasUnexpectedInput;
   }
 
-  private boolean continuesStatusLine(ByteBuf bytes) {
+  private boolean matchesStatusLineStart(ByteBuf bytes) {
     for (int i = 0;
         receivedBytes + i < STATUS_LINE_START.length && i < bytes.readableBytes();
         i++) {
@@ -65,7 +65,7 @@
     return true;
   }
 
-  /** Takes in a decoded part of the response. */
+  /** Adds a decoded part of the response. */
   void read(HttpObject part) throws IOException {
     if (isComplete || part.decoderResult().isFailure()) {
       hasUnexpectedInput = true;
@@ -74,7 +74,7 @@
     if (part instanceof HttpResponse responseHead) {
       readHead(responseHead);
     }
-    if (part instanceof HttpContent content && isReadingFinalResponse() && !hasUnexpectedInput) {
+    if (part instanceof HttpContent content && hasFinalResponseHead() && !hasUnexpectedInput) {
       readContent(content);
     }
   }
@@ -100,45 +100,47 @@
     }
   }
 
-  /** Records input where no response is due. */
+  /** Records that input was received while no response was expected. */
   void recordUnexpectedInput() {
     hasUnexpectedInput = true;
   }
 
   /**
-   * Whether anything came that belongs to no response, or makes the response malformed. Stays set:
-   * the connection is not to be used again.
+   * Whether any input was received that belongs to no response or makes the response malformed.
+   * Never reset, because such a connection must not be reused.
    */
   boolean hasUnexpectedInput() {
     return hasUnexpectedInput;
   }
 
-  /** Whether the final response has come completely. */
+  /** Whether the final response has been received completely. */
   boolean isComplete() {
     return isComplete;
   }
 
-  /** Whether the head of the final response has come, and not only of interim ones ahead of it. */
-  boolean isReadingFinalResponse() {
+  /** Whether the head of the final response has been received; interim responses do not count. */
+  boolean hasFinalResponseHead() {
     return head != null && !ResponseHeadValidator.isInterim(head);
   }
 
-  /** Whether any byte has come since the request was written. */
+  /**
+   * Whether any byte has been received since {@link #expectResponse}, interim responses included.
+   */
   boolean hasReceivedBytes() {
     return receivedBytes > 0;
   }
 
-  /** Whether the complete response leaves its connection open for another request. */
+  /** Whether the connection stays open after the response. Requires {@link #isComplete}. */
   boolean isKeepAlive() {
     return HttpUtil.isKeepAlive(head);
   }
 
-  /** How an attempt ended that got the complete response. */
+  /** The status of the attempt that the response completes. Requires {@link #isComplete}. */
   AttemptStatus status() {
     return ResponseHeadValidator.statusOf(head);
   }
 
-  /** The complete response. */
+  /** Returns the response with its body. Requires {@link #isComplete}. */
   UpstreamResponse response() {
     return new UpstreamResponse(
         body.toByteArray(), head.headers().get(HttpHeaderNames.CONTENT_TYPE));
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
@@ -12,29 +12,29 @@
 import loadbalancer.proxy.transport.EpochClock;
 
 /**
- * One attempt to have a request served by an upstream, from the policy's decision to exactly one
- * outcome. All state belongs to the event loop.
+ * One attempt to have an upstream serve a request. Every started attempt completes exactly once.
+ * Not thread-safe: used on the event loop only.
  */
 public final class UpstreamAttempt {
 
   /**
-   * A pooled connection that is reset within this time of the request's writing, before any byte
-   * came, was broken already when it was reused.
+   * If a pooled connection is reset within this time after the request was written, and no byte has
+   * been received, it is taken to have been broken before it was reused.
    */
   private static final long STALE_CONNECTION_RESET_NANOS = 50_000_000L;
 
-  /** The least time left that is stated to an upstream. */
+  /** The lowest value sent in {@code X-Time-Left-Ms}. */
   private static final long MIN_TIME_LEFT_MILLIS = 1;
 
-  /** Notified on the event loop, once, when an attempt completes. */
+  /** Notified once, on the event loop, when an attempt completes. */
   public interface CompletionListener {
 
     /**
      * Called when the attempt has completed.
      *
-     * @param attempt the attempt
-     * @param status how it ended
-     * @param response the complete response, or null where none came
+     * @param attempt the completed attempt
+     * @param status how the attempt ended
+     * @param response the complete response, or null if none was received
      */
     void attemptCompleted(UpstreamAttempt attempt, AttemptStatus status, UpstreamResponse response);
   }
@@ -44,11 +44,11 @@
   private final EpochClock clock;
   private final CompletionListener listener;
 
-  /** The connection that the request was written to, or null. */
+  /** The connection that the request is written to; null until writing starts. */
   private UpstreamConnection connection;
 
-  /** The connection that was opened for this attempt, or null for a pooled one. */
-  private ChannelFuture connecting;
+  /** The result of opening a connection for this attempt; null if a pooled one is used. */
+  private ChannelFuture connectFuture;
 
   private ScheduledFuture<?> timeoutTimer;
   private boolean isForwarded;
@@ -59,9 +59,9 @@
   private AttemptStatus status;
 
   /**
-   * Makes an attempt that has not started.
+   * Creates an attempt, which {@link #start} starts.
    *
-   * @param plan the decision that it carries out
+   * @param plan the request, the endpoint and the timeout
    * @param pool the connections to the endpoint
    * @param clock the balancer's clock
    * @param listener notified when the attempt completes, possibly from within {@link #start}
@@ -78,9 +78,10 @@
   }
 
   /**
-   * Forwards the request on an idle connection, or on a new one once it is up.
+   * Starts the timeout and forwards the request on an idle connection or, if there is none, on a
+   * new one as soon as it is open.
    *
-   * @param eventLoop runs the attempt's timeout
+   * @param eventLoop the current event loop, which runs the timeout
    */
   public void start(EventLoop eventLoop) {
     timeoutTimer =
@@ -93,38 +94,38 @@
       forward(idle);
       return;
     }
-    Optional<ChannelFuture> newConnection = pool.connect();
-    if (newConnection.isEmpty()) {
+    Optional<ChannelFuture> newConnectFuture = pool.connect();
+    if (newConnectFuture.isEmpty()) {
       complete(AttemptStatus.CONNECT_FAILED, null);
       return;
     }
-    connecting = newConnection.get();
-    connecting.addListener(this::connectCompleted);
+    connectFuture = newConnectFuture.get();
+    connectFuture.addListener(this::connectCompleted);
   }
 
-  private void connectCompleted(Future<? super Void> connected) {
+  private void connectCompleted(Future<? super Void> completedConnect) {
     if (!isInFlight()) {
-      connecting.channel().close();
-    } else if (!connected.isSuccess()) {
+      connectFuture.channel().close();
+    } else if (!completedConnect.isSuccess()) {
       complete(AttemptStatus.CONNECT_FAILED, null);
     } else {
-      forward(connecting.channel().pipeline().get(UpstreamConnection.class));
+      forward(connectFuture.channel().pipeline().get(UpstreamConnection.class));
     }
   }
 
-  private void forward(UpstreamConnection target) {
+  private void forward(UpstreamConnection openConnection) {
     if (!plan.mayStillForward().getAsBoolean()) {
-      target.release();
+      openConnection.release();
       complete(AttemptStatus.NOT_SENT, null);
       return;
     }
-    connection = target;
+    connection = openConnection;
     isForwarded = true;
     forwardedAtNanos = clock.nowNanos();
     long timeLeftNanos = plan.timeoutNanos() - sendDelayNanos();
     long timeLeftMillis =
         Math.max(MIN_TIME_LEFT_MILLIS, TimeUnit.NANOSECONDS.toMillis(timeLeftNanos));
-    target.send(this, UpstreamRequestFactory.create(plan.request(), timeLeftMillis));
+    openConnection.send(this, UpstreamRequestFactory.create(plan.request(), timeLeftMillis));
   }
 
   /** The attempt's index, counted from 0 in forwarding order. */
@@ -137,7 +138,7 @@
     return plan.endpointId();
   }
 
-  /** The endpoint's address at the time of the decision. */
+  /** The address that the attempt uses, even if the endpoint gets another one meanwhile. */
   public InetSocketAddress address() {
     return pool.address();
   }
@@ -152,34 +153,35 @@
     return status;
   }
 
-  /** Whether the upstream may have run the request, or may still run it. */
+  /** Whether the upstream may have run the request or may still run it. */
   public boolean mayHaveRun() {
     return isForwarded && (status == null || !status.provesNotRun());
   }
 
   /**
-   * Whether the attempt was reset because its pooled connection was broken before, which says
-   * nothing of the endpoint.
+   * Whether the attempt was reset because its pooled connection was already broken. Such a reset is
+   * no evidence against the endpoint.
    */
   public boolean foundStaleConnection() {
     return foundStaleConnection;
   }
 
-  /** When the first byte was written, on the balancer's clock; 0 while nothing was forwarded. */
+  /** When writing of the request started, on the {@link EpochClock}; 0 if it has not started. */
   public long forwardedAtNanos() {
     return forwardedAtNanos;
   }
 
-  /** The time from the decision to the first byte; 0 while nothing was forwarded. */
+  /** The time from the decision to the start of writing the request; 0 if it has not started. */
   public long sendDelayNanos() {
     return isForwarded ? forwardedAtNanos - plan.decidedAtNanos() : 0;
   }
 
   /**
-   * The time from the writing of the first byte, or from the decision where nothing was forwarded.
-   * Excludes the connect: a slow event loop makes it long, which is no work of the upstream.
+   * The time since writing of the request started or, if it has not started, since the decision.
+   * Excludes the time for opening a connection, which a slow event loop can prolong without any
+   * fault of the upstream.
    *
-   * @param untilNanos when the response came, on the balancer's clock
+   * @param untilNanos the end of the measured time, on the {@link EpochClock}
    */
   public long latencyNanos(long untilNanos) {
     long sinceNanos = isForwarded ? forwardedAtNanos : plan.decidedAtNanos();
@@ -187,11 +189,11 @@
   }
 
   /**
-   * Completes the attempt and notifies the listener; has no effect on a completed attempt. A
-   * timed-out or cancelled attempt takes its connection with it.
+   * Completes the attempt and notifies the listener. Has no effect on an attempt that has already
+   * completed. After a timeout or a cancellation, the attempt's connection is closed.
    *
    * @param outcome how the attempt ended
-   * @param response the complete response, or null where none came
+   * @param response the complete response, or null if none was received
    */
   public void complete(AttemptStatus outcome, UpstreamResponse response) {
     if (!isInFlight()) {
@@ -201,23 +203,25 @@
     timeoutTimer.cancel(false);
     foundStaleConnection = outcome == AttemptStatus.RESET && wasConnectionStale();
     if (foundStaleConnection) {
-      // Connections idle for longer have most likely broken too, and would cost an attempt each.
+      // Connections that have been idle for longer are most likely broken too. Each would cost
+      // another attempt.
       pool.closeIdleSince(connection.idleSinceNanos());
     }
     if (outcome == AttemptStatus.TIMEOUT || outcome == AttemptStatus.CANCELLED) {
       closeConnection();
     }
     if (outcome == AttemptStatus.TIMEOUT && !pool.hasReceivedWithin(plan.timeoutNanos())) {
-      // A machine that vanished leaves its connections open and silent, so none is reused. One that
-      // still responds to others was only slow, and would suffer from a burst of new connections.
+      // After a host failure, connections stay open but nothing is received on them, so none may be
+      // reused. An upstream that still responds to other requests is only slow, and a burst of new
+      // connections would slow it down further.
       pool.closeIdle();
     }
     listener.attemptCompleted(this, outcome, response);
   }
 
-  /** Whether the request was reset on a pooled connection that must have been broken before. */
+  /** Whether a reset means that the pooled connection was broken before it was reused. */
   private boolean wasConnectionStale() {
-    return connecting == null
+    return connectFuture == null
         && !connection.hasReceivedBytes()
         && clock.nowNanos() - forwardedAtNanos < STALE_CONNECTION_RESET_NANOS;
   }
@@ -225,8 +229,8 @@
   private void closeConnection() {
     if (connection != null) {
       connection.abort();
-    } else if (connecting != null) {
-      connecting.channel().close();
+    } else if (connectFuture != null) {
+      connectFuture.channel().close();
     }
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -16,16 +16,16 @@
 import loadbalancer.proxy.transport.RawBytesFilter;
 
 /**
- * A connection to an upstream: writes the request of one attempt at a time and completes the
- * attempt. The connection is reused only if a read ended with a complete response and nothing
- * behind it: any further bytes belong to no request. All state belongs to the event loop.
+ * A connection to an upstream, which writes the request of one attempt at a time and completes the
+ * attempt. The connection is reused only if nothing was received after the complete response, since
+ * further bytes belong to no request. Not thread-safe: used on the event loop only.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject>
     implements RawBytesFilter {
 
   /**
-   * The longest time from a response's first byte to its last: responses are small and written in
-   * one piece, so one that stalls is malformed.
+   * The longest time from the first byte of a response to its last. Responses are small and written
+   * in one piece, so a response that takes longer is treated as malformed.
    */
   private static final long MAX_RESPONSE_READ_MILLIS = 300;
 
@@ -34,22 +34,22 @@
   private final ResponseDecoder decoder;
   private final ResponseReader reader = new ResponseReader();
 
-  /** The attempt that waits for its response, or null. */
+  /** The attempt that waits for its response; null if there is none. */
   private UpstreamAttempt attempt;
 
-  private ChannelFuture requestWritten;
+  private ChannelFuture requestWrite;
 
-  /** Runs while a response has come in part; otherwise null. */
+  /** Set while a response has been received in part; otherwise null. */
   private ScheduledFuture<?> responseTimer;
 
   private long idleSinceNanos;
 
   /**
-   * Makes the last handler of a connection that is coming up.
+   * Creates the last handler in the pipeline of a connection that is being opened.
    *
    * @param pool the pool that the connection belongs to
-   * @param channel the connection's socket
-   * @param decoder the connection's decoder
+   * @param channel the connection's channel
+   * @param decoder the decoder in the same pipeline
    */
   UpstreamConnection(
       EndpointConnectionPool pool, PeekableSocketChannel channel, ResponseDecoder decoder) {
@@ -59,20 +59,20 @@
   }
 
   /**
-   * False where the peer has closed the connection, or unexpected bytes wait on it that the event
-   * loop has not read: a second copy of the last response would be taken for the response to the
-   * next request.
+   * Whether the idle connection is still open and has no unread input. Bytes that the event loop
+   * has not read yet, such as a second copy of the last response, would be taken for the response
+   * to the next request. After a false result the connection must be closed.
    */
   boolean isReusable() {
-    return channel.isOpenWithNothingUnread();
+    return channel.isOpenWithNoUnreadInput();
   }
 
-  /** Whether any byte has come since the last request was written. */
+  /** Whether any byte has been received since the last request was written. */
   boolean hasReceivedBytes() {
     return reader.hasReceivedBytes();
   }
 
-  /** Called by the pool when it takes the connection in as an idle one. */
+  /** Records the start of an idle period; called by the pool. */
   void markIdle() {
     idleSinceNanos = System.nanoTime();
   }
@@ -82,26 +82,26 @@
     return idleSinceNanos;
   }
 
-  /** Whether this connection became idle before the other one did. */
+  /** Whether this connection became idle earlier than the other one. */
   boolean isIdleLongerThan(UpstreamConnection other) {
     return idleSinceNanos - other.idleSinceNanos < 0;
   }
 
-  /** Returns the connection to its pool unused. */
+  /** Returns the connection to its pool without a request having been written. */
   void release() {
     pool.release(this);
   }
 
-  /** Writes an attempt's request; the attempt is completed by its response or by an error. */
-  void send(UpstreamAttempt next, FullHttpRequest request) {
-    attempt = next;
+  /** Writes an attempt's request. A response or a connection failure completes the attempt. */
+  void send(UpstreamAttempt newAttempt, FullHttpRequest request) {
+    attempt = newAttempt;
     reader.expectResponse();
-    requestWritten = channel.writeAndFlush(request);
+    requestWrite = channel.writeAndFlush(request);
   }
 
   /**
-   * Closes the connection with a reset, so that no unsent rest of a request reaches the upstream
-   * later, as it could after an orderly close.
+   * Closes the connection with a TCP reset. After an orderly close, the unsent part of a request
+   * could still reach the upstream.
    */
   void abort() {
     if (channel.isOpen()) {
@@ -110,7 +110,7 @@
     close();
   }
 
-  /** Closes the connection; an attempt on it is not completed by this. */
+  /** Closes the connection without completing the attempt on it. */
   void close() {
     attempt = null;
     cancelResponseTimer();
@@ -138,24 +138,28 @@
     }
   }
 
-  /** A complete response counts whatever came behind it; other unexpected input is an error. */
+  /**
+   * Completes the attempt if its response is complete. Input after the response does not invalidate
+   * it, but prevents the reuse of the connection. Any other unexpected input fails the attempt. A
+   * response received in part starts the timer for the rest of it.
+   */
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
     if (attempt != null && reader.isComplete()) {
       completeWithResponse();
     } else if (reader.hasUnexpectedInput()) {
-      completeAsBroken();
-    } else if (responseTimer == null && hasResponseInPart()) {
+      closeAndFailAttempt();
+    } else if (responseTimer == null && hasPartialResponse()) {
       responseTimer =
           context
               .executor()
-              .schedule(this::completeAsBroken, MAX_RESPONSE_READ_MILLIS, TimeUnit.MILLISECONDS);
+              .schedule(this::closeAndFailAttempt, MAX_RESPONSE_READ_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Whether a part of the final response has come, and not only of interim ones ahead of it. */
-  private boolean hasResponseInPart() {
-    return attempt != null && (decoder.hasUndecodedBytes() || reader.isReadingFinalResponse());
+  /** Whether a part of the final response has been received; complete interim ones do not count. */
+  private boolean hasPartialResponse() {
+    return attempt != null && (decoder.hasUndecodedBytes() || reader.hasFinalResponseHead());
   }
 
   private void completeWithResponse() {
@@ -164,7 +168,7 @@
     cancelResponseTimer();
     UpstreamResponse response = reader.response();
     AttemptStatus status = reader.status();
-    if (mayBeReused()) {
+    if (isReusableAfterResponse()) {
       pool.release(this);
     } else {
       channel.close();
@@ -172,11 +176,11 @@
     completed.complete(status, response);
   }
 
-  private boolean mayBeReused() {
+  private boolean isReusableAfterResponse() {
     return !reader.hasUnexpectedInput()
         && !decoder.hasUndecodedBytes()
         && reader.isKeepAlive()
-        && requestWritten.isSuccess()
+        && requestWrite.isSuccess()
         && channel.isActive();
   }
 
@@ -189,7 +193,7 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    completeAsBroken();
+    closeAndFailAttempt();
   }
 
   @Override
@@ -198,18 +202,18 @@
       EventLog.warnRateLimited(
           "upstream: connection error address=" + pool.address() + " cause=" + cause);
     }
-    completeAsBroken();
+    closeAndFailAttempt();
   }
 
   /**
-   * Closes the connection. The attempt on it may have run if its request's last byte was written,
-   * or a byte of a response came.
+   * Closes the connection and fails the attempt on it. The upstream may have run the request if it
+   * was written completely or any byte of a response was received.
    */
-  private void completeAsBroken() {
+  private void closeAndFailAttempt() {
     UpstreamAttempt completed = attempt;
     close();
     if (completed != null) {
-      boolean mayHaveRun = requestWritten.isSuccess() || reader.hasReceivedBytes();
+      boolean mayHaveRun = requestWrite.isSuccess() || reader.hasReceivedBytes();
       completed.complete(mayHaveRun ? AttemptStatus.RESET : AttemptStatus.CONNECT_FAILED, null);
     }
   }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPools.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPools.java
@@ -18,18 +18,18 @@
 import loadbalancer.proxy.transport.PeekableSocketChannel;
 
 /**
- * The connections to all upstreams: opens them within a limit and closes those that have been idle
- * too long. All state belongs to the event loop.
+ * The connection pools of all upstreams. Opens connections within one common limit and closes those
+ * that have been idle for too long. Not thread-safe: used on the event loop only.
  */
 public final class UpstreamConnectionPools {
 
   /**
-   * Idle connections are closed at this fraction of the upstream's own timeout: a request written
-   * to one that the upstream closes at that moment would end as a reset.
+   * Idle connections are closed after this fraction of the upstream's idle timeout. A request
+   * written at the moment at which the upstream closes the connection would end in a reset.
    */
   private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
-  /** Sweeps for idle connections in the time after which one is closed. */
+  /** The number of sweeps in the time after which an idle connection is closed. */
   private static final int SWEEPS_PER_IDLE_TIMEOUT = 20;
 
   private static final long MIN_SWEEP_PERIOD_NANOS = 1_000_000L;
@@ -43,9 +43,9 @@
   private int openConnections;
 
   /**
-   * Makes pools on TCP sockets.
+   * Creates pools of TCP connections.
    *
-   * @param eventLoop the thread of all connections
+   * @param eventLoop the event loop of all connections
    * @param limits the limits on connections to all upstreams
    */
   public UpstreamConnectionPools(EventLoop eventLoop, ConnectionLimits limits) {
@@ -53,11 +53,11 @@
   }
 
   /**
-   * Makes pools on the sockets of a factory.
+   * Creates pools whose connections use the channels of a factory.
    *
-   * @param eventLoop the thread of all connections
+   * @param eventLoop the event loop of all connections
    * @param limits the limits on connections to all upstreams
-   * @param channelFactory makes sockets of type {@link PeekableSocketChannel}
+   * @param channelFactory creates channels of type {@link PeekableSocketChannel}
    */
   public UpstreamConnectionPools(
       EventLoop eventLoop, ConnectionLimits limits, ChannelFactory<Channel> channelFactory) {
@@ -76,10 +76,10 @@
     long periodNanos = Math.max(MIN_SWEEP_PERIOD_NANOS, maxIdleNanos / SWEEPS_PER_IDLE_TIMEOUT);
     idleSweep =
         eventLoop.scheduleAtFixedRate(
-            this::closeLongIdle, periodNanos, periodNanos, TimeUnit.NANOSECONDS);
+            this::closeExpiredIdle, periodNanos, periodNanos, TimeUnit.NANOSECONDS);
   }
 
-  /** Makes the pool of an upstream that is new or has a new address. */
+  /** Creates the pool of an upstream that is new, has a new address or returns to the list. */
   public EndpointConnectionPool createPool(InetSocketAddress address) {
     EndpointConnectionPool pool = new EndpointConnectionPool(this, address);
     pools.add(pool);
@@ -87,50 +87,51 @@
   }
 
   /**
-   * Opens a connection; empty where the limit on connections, or the process's limit on
-   * descriptors, leaves none.
+   * Opens a connection. At the limit on connections, the connection that has been idle longest is
+   * closed first. Empty if none is idle, or if the process has no file descriptor left.
    */
   Optional<ChannelFuture> connect(EndpointConnectionPool pool) {
     if (openConnections >= maxConnections && !closeLongestIdle()) {
       return Optional.empty();
     }
-    ChannelFuture connecting =
+    ChannelFuture connectFuture =
         bootstrap.clone().handler(new ConnectionInitializer(pool)).connect(pool.address());
-    if (!connecting.channel().isRegistered()) {
-      // No socket was made: Netty would never signal its close, and its failure on another thread.
+    if (!connectFuture.channel().isRegistered()) {
+      // No socket was created. Netty would never complete the channel's close future, and would
+      // report the failure on another thread.
       return Optional.empty();
     }
     openConnections++;
-    connecting.channel().closeFuture().addListener(closed -> openConnections--);
-    return Optional.of(connecting);
+    connectFuture.channel().closeFuture().addListener(closed -> openConnections--);
+    return Optional.of(connectFuture);
   }
 
-  /** Removes a pool that has been closed. */
+  /** Removes a closed pool; its open connections still count towards the limit. */
   void remove(EndpointConnectionPool pool) {
     pools.remove(pool);
   }
 
-  /** Closes all pools and stops the sweeps for idle connections. */
+  /** Closes all pools and stops the idle sweeps. */
   public void close() {
     idleSweep.cancel(false);
     List.copyOf(pools).forEach(EndpointConnectionPool::close);
   }
 
-  private void closeLongIdle() {
+  private void closeExpiredIdle() {
     long idleSinceNanos = System.nanoTime() - maxIdleNanos;
     pools.forEach(pool -> pool.closeIdleSince(idleSinceNanos));
   }
 
-  /** Closes the connection that has been idle longest; false where none is idle. */
+  /** Closes the connection that has been idle longest; returns false if none is idle. */
   private boolean closeLongestIdle() {
     UpstreamConnection longestIdle = null;
     for (EndpointConnectionPool pool : pools) {
-      UpstreamConnection candidate = pool.longestIdle();
-      if (candidate == null) {
+      UpstreamConnection poolLongestIdle = pool.longestIdle();
+      if (poolLongestIdle == null) {
         continue;
       }
-      if (longestIdle == null || candidate.isIdleLongerThan(longestIdle)) {
-        longestIdle = candidate;
+      if (longestIdle == null || poolLongestIdle.isIdleLongerThan(longestIdle)) {
+        longestIdle = poolLongestIdle;
       }
     }
     if (longestIdle == null) {
@@ -140,7 +141,7 @@
     return true;
   }
 
-  /** Sets up the handlers of a connection that is coming up. */
+  /** Sets up the pipeline of a connection that is being opened. */
   private static final class ConnectionInitializer extends ChannelInitializer<Channel> {
 
     private final EndpointConnectionPool pool;
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
@@ -4,8 +4,8 @@
 import loadbalancer.policy.event.EndpointStatus;
 
 /**
- * An upstream as the endpoint list last described it, with its connection pool. Changed by {@link
- * EndpointTable} only; its state belongs to the event loop.
+ * An endpoint with its latest entry in the endpoint list and its connection pool. Modified by
+ * {@link EndpointTable} only. Not thread-safe: used on the event loop only.
  */
 public final class UpstreamEndpoint {
 
@@ -15,9 +15,9 @@
   private int attemptsInFlight;
 
   /**
-   * Makes an endpoint without attempts in flight.
+   * Creates an endpoint without attempts in flight.
    *
-   * @param descriptor the endpoint as the list describes it
+   * @param descriptor the endpoint's entry in the list
    * @param pool the connections to the endpoint's address
    */
   UpstreamEndpoint(EndpointDescriptor descriptor, EndpointConnectionPool pool) {
@@ -26,55 +26,60 @@
     this.pool = pool;
   }
 
-  /** The endpoint as the list last described it, which says nothing of a removal by absence. */
+  /** The latest entry in the list. Its status does not show a removal by absence from the list. */
   public EndpointDescriptor descriptor() {
     return descriptor;
   }
 
-  /** The connections to the endpoint's present address. */
+  /** The connections to the endpoint's current address. */
   public EndpointConnectionPool pool() {
     return pool;
   }
 
-  /** Whether the endpoint is to get nothing new: it is draining or has been removed. */
+  /** Whether the endpoint must get no new requests, because it is draining or was removed. */
   public boolean isDraining() {
     return status != EndpointStatus.READY;
   }
 
-  /** Whether the list no longer names the endpoint, or names it as removed. */
+  /** Whether the list no longer contains the endpoint, or marks it as removed. */
   boolean isRemoved() {
     return status == EndpointStatus.REMOVED;
   }
 
-  /** Whether any attempt to the endpoint has not completed. */
+  /** Whether any started attempt to the endpoint has not completed. */
   boolean hasAttemptsInFlight() {
     return attemptsInFlight > 0;
   }
 
-  /** Records what the list says of the endpoint now. */
-  void describe(EndpointDescriptor latest) {
+  /** Replaces the descriptor and the status by those of a new entry in the list. */
+  void updateDescriptor(EndpointDescriptor latest) {
     descriptor = latest;
     status = latest.status();
   }
 
-  /** Also closes the connections: idle ones now, the others once their attempts complete. */
+  /**
+   * Marks the endpoint as removed and closes its pool: idle connections immediately, the others
+   * when their attempts complete.
+   */
   void remove() {
     status = EndpointStatus.REMOVED;
     pool.close();
   }
 
-  /** Closes the present pool and uses another one, for another address. */
-  void replacePool(EndpointConnectionPool next) {
+  /**
+   * Closes the current pool and uses a new one, after a change of address or a return to the list.
+   */
+  void replacePool(EndpointConnectionPool newPool) {
     pool.close();
-    pool = next;
+    pool = newPool;
   }
 
-  /** Counts an attempt as in flight. */
+  /** Adds an attempt to those in flight. */
   void attemptStarted() {
     attemptsInFlight++;
   }
 
-  /** Counts an attempt as no longer in flight. */
+  /** Removes an attempt from those in flight. */
   void attemptCompleted() {
     attemptsInFlight--;
   }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamRequestFactory.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamRequestFactory.java
@@ -10,16 +10,18 @@
 import loadbalancer.proxy.http.RequestHeaders;
 import loadbalancer.proxy.http.RequestMessage;
 
-/** Makes the HTTP request that is written to an upstream. */
+/** Creates the HTTP requests that are written to upstreams. Stateless. */
 final class UpstreamRequestFactory {
 
   private UpstreamRequestFactory() {}
 
   /**
-   * Makes a request with the client's method, path, query, body, id and idempotency key.
+   * Creates a request with the client's method, path, query, host, content type, body, request id
+   * and idempotency key. The client's other headers are not forwarded.
    *
    * @param request the client's request
-   * @param timeLeftMillis how long the balancer waits for the response
+   * @param timeLeftMillis how long the balancer will wait for the response, sent in {@code
+   *     X-Time-Left-Ms}
    */
   static FullHttpRequest create(ClientRequest request, long timeLeftMillis) {
     RequestMessage message = request.message();
--- a/src/main/java/loadbalancer/proxy/upstream/package-info.java
+++ b/src/main/java/loadbalancer/proxy/upstream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections to endpoints: pools, attempts and the reading of responses. All state belongs to the
- * event loop.
+ * The upstream side of the proxy: endpoints, connection pools, attempts and the decoding of
+ * responses. All mutable state is confined to the event loop.
  */
 package loadbalancer.proxy.upstream;
