--- a/src/main/java/loadbalancer/proxy/http/ClientRequest.java
+++ b/src/main/java/loadbalancer/proxy/http/ClientRequest.java
@@ -3,17 +3,19 @@
 import loadbalancer.policy.settings.RequestClass;
 
 /**
- * A client's request, checked against the protocol and the settings.
+ * A client's request that has been validated against the protocol and the settings.
  *
- * @param requestId unique among all requests, a client's retries included
- * @param requestClass the request's class
- * @param tenant the tenant, or null where the client named none
- * @param affinityKey what the request concerns, used for affinity; or null
- * @param timeLeftNanos how long the client waits for the response from now on, at most the class's
- *     deadline
- * @param workHintNanos the work to expect, as time on a standard core; 0 where no hint came
- * @param isClientRetry whether the client marked the request as a retry of its own
- * @param message what is forwarded to the upstream
+ * @param requestId unique among all requests; a client's retry has an id of its own
+ * @param requestClass the request's class, from the settings
+ * @param tenant the tenant, or null if the request names none
+ * @param affinityKey requests with the same key are sent to the same endpoint if possible; null if
+ *     the request has none
+ * @param timeLeftNanos how long the client waits for the response, counted from the receipt of the
+ *     request; at most the class's deadline
+ * @param workHintNanos the client's estimate of the work, as processing time on a standard core; 0
+ *     if it gave none
+ * @param isClientRetry whether the client has marked the request as its own retry of an earlier one
+ * @param message the parts that are forwarded to the upstream
  */
 public record ClientRequest(
     String requestId,
--- a/src/main/java/loadbalancer/proxy/http/InvalidRequestException.java
+++ b/src/main/java/loadbalancer/proxy/http/InvalidRequestException.java
@@ -1,6 +1,6 @@
 package loadbalancer.proxy.http;
 
-/** A client's request that breaks the protocol, with the status of the response that it gets. */
+/** Thrown for a client's request that violates the protocol; carries the status of the response. */
 public final class InvalidRequestException extends Exception {
 
   private static final long serialVersionUID = 1L;
@@ -8,11 +8,11 @@
   private final int status;
 
   /**
-   * Makes an exception without a stack trace: clients that break the protocol may do so at full
-   * speed.
+   * Creates an exception without a stack trace, which would be too expensive if clients send
+   * invalid requests at a high rate.
    *
    * @param status the HTTP status of the response
-   * @param message what is wrong with the request, the body of the response
+   * @param message what is wrong with the request, sent as the body of the response
    */
   public InvalidRequestException(int status, String message) {
     super(message, null, false, false);
--- a/src/main/java/loadbalancer/proxy/http/package-info.java
+++ b/src/main/java/loadbalancer/proxy/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP messages as the proxy holds them between its client side and its upstream side. */
+/** Requests and responses in the form in which the downstream and upstream sides exchange them. */
 package loadbalancer.proxy.http;
--- a/src/main/java/loadbalancer/proxy/transport/MillisecondEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/transport/MillisecondEventLoop.java
@@ -5,32 +5,33 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 
 /**
- * An event loop whose timers fire at the next whole millisecond or later.
+ * An event loop that rounds its waits for timers up to whole milliseconds.
  *
- * <p>The NIO selector waits in milliseconds, and Netty rounds the time to the next timer to the
- * nearest one. Woken up to half a millisecond early, the loop would poll its sockets in a busy loop
- * until the timer is due. Rounding up delays a timer by less than a millisecond instead.
+ * <p>The NIO selector waits for whole milliseconds, and Netty rounds the delay of the next timer to
+ * the nearest one. The loop could wake up half a millisecond early and poll its sockets in a busy
+ * loop until the timer expires. Rounding up avoids this and delays a timer by less than a
+ * millisecond.
  */
 public final class MillisecondEventLoop extends SingleThreadIoEventLoop {
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
   /**
-   * Makes a loop that runs once its first task is submitted.
+   * Creates an event loop, whose thread starts when the first task is submitted.
    *
-   * @param ioHandlerFactory makes the handler of the loop's sockets
+   * @param ioHandlerFactory creates the handler of the loop's I/O
    */
   public MillisecondEventLoop(IoHandlerFactory ioHandlerFactory) {
     super(null, new DefaultThreadFactory("loop"), ioHandlerFactory);
   }
 
-  /** The time to the next timer, rounded up to whole milliseconds. */
+  /** The delay of the next timer in nanoseconds, rounded up to whole milliseconds. */
   @Override
   protected long delayNanos(long currentTimeNanos) {
-    long delayNanos = super.delayNanos(currentTimeNanos);
-    if (delayNanos > Long.MAX_VALUE - NANOS_PER_MILLI) {
-      return delayNanos;
+    long exactDelayNanos = super.delayNanos(currentTimeNanos);
+    if (exactDelayNanos > Long.MAX_VALUE - NANOS_PER_MILLI) {
+      return exactDelayNanos;
     }
-    return (delayNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI * NANOS_PER_MILLI;
+    return (exactDelayNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI * NANOS_PER_MILLI;
   }
 }
--- a/src/main/java/loadbalancer/proxy/transport/PeekableServerSocketChannel.java
+++ b/src/main/java/loadbalancer/proxy/transport/PeekableServerSocketChannel.java
@@ -5,7 +5,7 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** A listening socket that accepts connections as {@link PeekableSocketChannel}s. */
+/** A server channel that accepts connections as {@link PeekableSocketChannel}s. */
 public final class PeekableServerSocketChannel extends NioServerSocketChannel {
 
   @Override
--- a/src/main/java/loadbalancer/proxy/transport/package-info.java
+++ b/src/main/java/loadbalancer/proxy/transport/package-info.java
@@ -1,2 +1,2 @@
-/** The parts of the event loop, sockets and clock that Netty and the JDK do not bring. */
+/** Extensions of Netty's event loop and socket channels, and the balancer's clock. */
 package loadbalancer.proxy.transport;
