--- a/src/test/java/loadbalancer/proxy/AttemptOutcomeTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptOutcomeTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What an upstream does and which response the client gets. With one attempt of a class with
- * idempotency keys, 429 shows an outcome that proves that the request never ran, 502 one that may
- * have run, 200 a complete response.
+ * Tests which response a client gets for each behavior of an upstream. Each request gets a single
+ * attempt. In a class with idempotency keys, the client then gets 200 for a complete response, 429
+ * if the request provably never ran, and 502 if it may have run.
  */
 class AttemptOutcomeTest {
 
@@ -25,11 +25,11 @@
     return Arguments.of(name, status, upstreamHandler);
   }
 
-  private static FakeHttpServer.RequestHandler writing(String text) {
+  private static FakeHttpServer.RequestHandler respondWith(String text) {
     return (request, connection, output) -> FakeHttpServer.write(output, text);
   }
 
-  private static FakeHttpServer.RequestHandler writingAndClosing(String text) {
+  private static FakeHttpServer.RequestHandler respondAndClose(String text) {
     return (request, connection, output) -> {
       FakeHttpServer.write(output, text);
       connection.close();
@@ -38,59 +38,71 @@
 
   static Stream<Arguments> upstreamHandlers() {
     return Stream.of(
-        row("complete response", 200, writing(FakeHttpServer.okResponse("fine"))),
         row(
-            "chunked response",
+            "complete response with Content-Length",
             200,
-            writing("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n")),
+            respondWith(FakeHttpServer.okResponse("fine"))),
         row(
-            "after an interim response",
+            "complete chunked response",
             200,
-            writing("HTTP/1.1 100 Continue\r\n\r\n" + FakeHttpServer.okResponse("fine"))),
+            respondWith(
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n")),
         row(
-            "no reason phrase",
+            "interim response before the final one",
             200,
-            writing(
+            respondWith("HTTP/1.1 100 Continue\r\n\r\n" + FakeHttpServer.okResponse("fine"))),
+        row(
+            "status lines without a reason phrase",
+            200,
+            respondWith(
                 "HTTP/1.1 103 \r\n\r\n" + FakeHttpServer.okResponse("fine").replace(" OK", " "))),
-        row("error", FAILED_STATUS, writing("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")),
         row(
-            "rejected unprocessed",
+            "500 without X-Unprocessed",
+            FAILED_STATUS,
+            respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")),
+        row(
+            "503 with X-Unprocessed",
             REJECTED_STATUS,
-            writing("HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
+            respondWith("HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
         row(
-            "timed out unprocessed",
+            "504 with X-Unprocessed",
             REJECTED_STATUS,
-            writing("HTTP/1.1 504 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
-        row("bare 503", FAILED_STATUS, writing("HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n")),
+            respondWith("HTTP/1.1 504 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
         row(
-            "mark of an unprocessed request on an error",
+            "503 without X-Unprocessed",
             FAILED_STATUS,
-            writing("HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
-        row("closed without a response", FAILED_STATUS, writingAndClosing("")),
+            respondWith("HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n")),
         row(
-            "reset",
+            "500 with X-Unprocessed",
+            FAILED_STATUS,
+            respondWith("HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
+        row("connection closed without a response", FAILED_STATUS, respondAndClose("")),
+        row(
+            "connection reset",
             FAILED_STATUS,
             (request, connection, output) -> {
               connection.setSoLinger(true, 0);
               connection.close();
             }),
         row(
-            "truncated",
+            "truncated body with Content-Length",
+            FAILED_STATUS,
+            respondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine")),
+        row(
+            "truncated chunked body",
             FAILED_STATUS,
-            writingAndClosing("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine")),
+            respondAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n")),
+        row("body without a length", FAILED_STATUS, respondAndClose("HTTP/1.1 200 OK\r\n\r\nfine")),
+        row("malformed status line", FAILED_STATUS, respondWith("nonsense\r\n\r\n")),
         row(
-            "truncated in chunks",
+            "body above the size limit",
             FAILED_STATUS,
-            writingAndClosing(
-                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n")),
-        row("no length", FAILED_STATUS, writingAndClosing("HTTP/1.1 200 OK\r\n\r\nfine")),
-        row("malformed", FAILED_STATUS, writing("nonsense\r\n\r\n")),
-        row("too large", FAILED_STATUS, writing(FakeHttpServer.okResponse("x".repeat(70_000)))));
+            respondWith(FakeHttpServer.okResponse("x".repeat(70_000)))));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("upstreamHandlers")
-  void responseTellsWhetherTheRequestMayHaveRun(
+  void statusTellsWhetherTheRequestMayHaveRun(
       String name, int status, FakeHttpServer.RequestHandler upstreamHandler) throws Exception {
     try (FakeHttpServer upstream = new FakeHttpServer(upstreamHandler)) {
       TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
@@ -99,7 +111,7 @@
         assertEquals(status, response.status());
         assertEquals(status == 200 ? "fine" : "", response.body());
         assertEquals(status == REJECTED_STATUS, response.head().contains("retry-after: "));
-        assertEquals(1, upstream.requests.size(), "forwarded once");
+        assertEquals(1, upstream.requests.size(), "the request is forwarded once");
       }
     }
   }
@@ -115,7 +127,7 @@
   }
 
   @Test
-  void requestFailsIfTheUpstreamIsUnresponsiveAndItsConnectionsAreNotReused() throws Exception {
+  void timeoutFailsTheRequestAndItsConnectionIsNotReused() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(proxy.address)) {
@@ -123,7 +135,7 @@
         upstream.requestHandler = (request, connection, output) -> {};
         assertEquals(FAILED_STATUS, client.exchange(TestClient.keyedRequest("2", 1_000)).status());
         TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
-        upstream.requestHandler = writing(FakeHttpServer.okResponse("fine"));
+        upstream.requestHandler = respondWith(FakeHttpServer.okResponse("fine"));
         assertEquals(200, client.exchange(TestClient.keyedRequest("3", 15_000)).status());
         assertEquals(2, upstream.connections.size());
       }
@@ -152,7 +164,7 @@
   }
 
   @Test
-  void connectionThatTheUpstreamClosedIsNotReused() throws Exception {
+  void connectionClosedByTheUpstreamIsNotReused() throws Exception {
     try (FakeHttpServer upstream =
         new FakeHttpServer(
             (request, connection, output) -> {
--- a/src/test/java/loadbalancer/proxy/FakeHttpServer.java
+++ b/src/test/java/loadbalancer/proxy/FakeHttpServer.java
@@ -15,26 +15,32 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An HTTP server on a loopback port with a scripted handler: a fake upstream or discovery. */
+/** An HTTP server on a loopback port that serves as an upstream or a discovery service in tests. */
 public final class FakeHttpServer implements Closeable {
 
-  /** What the server does with a request. */
+  /** Handles the requests that the server receives; called on one thread per connection. */
   public interface RequestHandler {
 
-    /** Handles one request, whose text is given; may write nothing, or close the connection. */
+    /**
+     * Handles one request. May leave it without a response or close the connection.
+     *
+     * @param request the request line, the headers and the body, with LF as the line break
+     * @param connection the connection that the request was received on
+     * @param output the connection's output
+     */
     void handle(String request, Socket connection, OutputStream output) throws Exception;
   }
 
-  /** The text of each request, in order of arrival. */
+  /** The text of each received request, in the order of receipt. */
   public final List<String> requests = new CopyOnWriteArrayList<>();
 
-  /** Each accepted connection, in order. */
+  /** The accepted connections, in the order of acceptance; closed ones stay in the list. */
   public final List<Socket> connections = new CopyOnWriteArrayList<>();
 
-  /** How many connections have ended. */
+  /** The number of connections on which reading has ended, by a close or an error. */
   public final AtomicInteger connectionsClosedByPeer = new AtomicInteger();
 
-  /** Handles the requests that arrive from now on. */
+  /** Handles the requests; a test may replace it while the server runs. */
   public volatile RequestHandler requestHandler;
 
   private final ServerSocket listener;
@@ -53,27 +59,27 @@
         });
   }
 
-  /** A server that responds to every request with a 200 and this body. */
+  /** Starts a server that answers every request with 200 and this body. */
   public static FakeHttpServer respondingWith(String body) throws IOException {
     return new FakeHttpServer((request, connection, output) -> write(output, okResponse(body)));
   }
 
-  /** The text of a 200 response with this body. */
+  /** The text of a 200 response with this body, which must be ASCII. */
   public static String okResponse(String body) {
     return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
-  /** Writes and flushes a text. */
+  /** Writes a text as UTF-8 and flushes the output. */
   public static void write(OutputStream output, String text) throws IOException {
     output.write(text.getBytes(StandardCharsets.UTF_8));
     output.flush();
   }
 
-  private interface FailableTask {
+  private interface ThrowingTask {
     void run() throws Exception;
   }
 
-  private static void startDaemon(FailableTask task) {
+  private static void startDaemon(ThrowingTask task) {
     Thread thread =
         new Thread(
             () -> {
@@ -113,7 +119,7 @@
     }
   }
 
-  /** The address that it listens on. */
+  /** The address that the server listens on. */
   public InetSocketAddress address() {
     return (InetSocketAddress) listener.getLocalSocketAddress();
   }
--- a/src/test/java/loadbalancer/proxy/transport/MillisecondEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/transport/MillisecondEventLoopTest.java
@@ -11,29 +11,31 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** How the event loop waits for its timers. */
+/** Tests how the event loop waits for timers. */
 class MillisecondEventLoopTest {
 
-  private static final int TIMERS = 50;
+  private static final int TIMER_COUNT = 50;
+
+  /** Not a whole number of milliseconds, so that Netty would round it down. */
   private static final long TIMER_DELAY_NANOS = 2_300_000L;
 
-  /** A busy wait for a timer would be hundreds of selector rounds for each timer. */
+  /** A busy loop would poll the selector hundreds of times for each timer. */
   @Test
-  void waitingForATimerTakesNoBusyLoop() throws Exception {
-    AtomicInteger rounds = new AtomicInteger();
+  void waitForATimerDoesNotPollInABusyLoop() throws Exception {
+    AtomicInteger selectorPolls = new AtomicInteger();
     SelectStrategy countingStrategy =
         (selectNow, tasks) -> {
-          rounds.incrementAndGet();
+          selectorPolls.incrementAndGet();
           return tasks ? selectNow.get() : SelectStrategy.SELECT;
         };
     MillisecondEventLoop loop =
         new MillisecondEventLoop(
             NioIoHandler.newFactory(SelectorProvider.provider(), () -> countingStrategy));
     try {
-      CountDownLatch fired = new CountDownLatch(TIMERS);
+      CountDownLatch fired = new CountDownLatch(TIMER_COUNT);
       loop.execute(() -> scheduleNext(loop, fired));
       fired.await();
-      assertTrue(rounds.get() <= 4 * TIMERS, "rounds: " + rounds);
+      assertTrue(selectorPolls.get() <= 4 * TIMER_COUNT, "selector polls: " + selectorPolls);
     } finally {
       loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
@@ -52,7 +54,7 @@
   }
 
   @Test
-  void delayIsInWholeMillisecondsAndNoShorterThanTheTimers() throws Exception {
+  void timerDelayIsRoundedUpToWholeMilliseconds() throws Exception {
     MillisecondEventLoop loop = new MillisecondEventLoop(NioIoHandler.newFactory());
     try {
       loop.submit(
@@ -62,7 +64,8 @@
                 for (int i = 0; i < 3; i++) {
                   long delayNanos = loop.delayNanos(nowNanos + i);
                   assertEquals(0, delayNanos % 1_000_000);
-                  assertTrue(delayNanos >= TimeUnit.HOURS.toNanos(1) - i, "delay " + delayNanos);
+                  assertTrue(
+                      delayNanos >= TimeUnit.HOURS.toNanos(1) - i, "delay in ns: " + delayNanos);
                 }
               })
           .sync();
--- a/src/test/java/loadbalancer/proxy/transport/PeekableSocketChannelTest.java
+++ b/src/test/java/loadbalancer/proxy/transport/PeekableSocketChannelTest.java
@@ -9,15 +9,15 @@
 import java.nio.channels.ServerSocketChannel;
 import org.junit.jupiter.api.Test;
 
-/** Dropping what waits unread on a socket. */
+/** Tests discarding unread input of a socket. */
 class PeekableSocketChannelTest {
 
-  /** Uses the two ends of a connection. */
-  interface ConnectionTest {
+  /** A test body that gets both ends of a connection. */
+  interface ConnectionTestBody {
     void run(PeekableSocketChannel socket, Socket peer) throws Exception;
   }
 
-  private static void onConnection(ConnectionTest test) throws Exception {
+  private static void withConnection(ConnectionTestBody test) throws Exception {
     try (ServerSocketChannel listener = ServerSocketChannel.open()) {
       listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       InetSocketAddress address = (InetSocketAddress) listener.getLocalAddress();
@@ -29,10 +29,10 @@
     }
   }
 
-  /** One peer that sends without end must not occupy the event loop. */
+  /** Without a limit, a peer that sends continuously could keep the event loop busy. */
   @Test
-  void skipDropsNoMoreThanItsLimit() throws Exception {
-    onConnection(
+  void skipDiscardsNoMoreThanItsLimit() throws Exception {
+    withConnection(
         (socket, peer) -> {
           assertEquals(0, socket.skip(10));
           peer.getOutputStream().write(new byte[10_000]);
@@ -44,7 +44,7 @@
           int skipped = first;
           while (skipped < 9_990) {
             int more = socket.skip(Math.min(5_000, 9_990 - skipped));
-            assertTrue(more >= 0 && more <= 5_000, "skipped " + more);
+            assertTrue(more >= 0 && more <= 5_000, "skipped bytes: " + more);
             skipped += more;
           }
           assertEquals(9_990, skipped);
--- a/src/test/java/loadbalancer/proxy/upstream/EndpointTableTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/EndpointTableTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Which upstreams the table holds, and what it says of them, as the endpoint list changes. */
+/** Tests how updates of the endpoint list add, replace and remove endpoints. */
 class EndpointTableTest {
 
   private final EventLoop loop =
@@ -30,23 +30,23 @@
           new UpstreamConnectionPools(
               loop, new ConnectionLimits(1_000_000_000L, 60_000_000_000L, 10)));
 
-  private static EndpointList.Endpoint host(long id, EndpointStatus status) {
+  private static EndpointList.Endpoint entry(long id, EndpointStatus status) {
     return new EndpointList.Endpoint(
         TestProxy.unreachableAddress(), new EndpointDescriptor(id, "a", 1, status, 0, 1));
   }
 
   @AfterEach
-  void stop() {
+  void stopLoop() {
     loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
   @Test
-  void replacedEndpointsAreForgotten() {
-    table.applyFullList(List.of(host(0, EndpointStatus.READY)));
+  void replacedEndpointsAreRemovedFromTheTable() {
+    table.applyFullList(List.of(entry(0, EndpointStatus.READY)));
     for (int id = 1; id <= 1_000; id++) {
       table.applyChanges(
-          List.of(host(id, EndpointStatus.READY), host(id - 1, EndpointStatus.DRAINING)));
-      table.applyChanges(List.of(host(id - 1, EndpointStatus.REMOVED)));
+          List.of(entry(id, EndpointStatus.READY), entry(id - 1, EndpointStatus.DRAINING)));
+      table.applyChanges(List.of(entry(id - 1, EndpointStatus.REMOVED)));
     }
     assertEquals(1, table.size());
     assertNotNull(table.find(1_000));
@@ -54,23 +54,24 @@
 
   @Test
   void removedEndpointIsKeptWhileAnAttemptIsInFlight() {
-    table.applyFullList(List.of(host(1, EndpointStatus.READY), host(2, EndpointStatus.READY)));
+    table.applyFullList(List.of(entry(1, EndpointStatus.READY), entry(2, EndpointStatus.READY)));
     UpstreamEndpoint first = table.find(1);
     table.attemptStarted(first);
-    table.applyFullList(List.of(host(2, EndpointStatus.READY)));
+    table.applyFullList(List.of(entry(2, EndpointStatus.READY)));
     assertSame(first, table.find(1));
-    assertTrue(first.isDraining(), "absent from a full list");
+    assertTrue(first.isDraining(), "an endpoint absent from a full list gets no new requests");
     table.attemptCompleted(first);
     assertNull(table.find(1));
-    assertTrue(first.isDraining(), "an attempt that is about to be forwarded may ask");
+    assertTrue(
+        first.isDraining(), "an attempt that still holds the endpoint sees that it was removed");
   }
 
   @Test
-  void successorAtTheSameAddressInheritsNoConnections() {
-    table.applyFullList(List.of(host(1, EndpointStatus.READY)));
-    table.applyChanges(List.of(host(1, EndpointStatus.DRAINING)));
+  void endpointAtAReusedAddressGetsItsOwnPool() {
+    table.applyFullList(List.of(entry(1, EndpointStatus.READY)));
+    table.applyChanges(List.of(entry(1, EndpointStatus.DRAINING)));
     EndpointConnectionPool before = table.find(1).pool();
-    table.applyChanges(List.of(host(2, EndpointStatus.READY)));
+    table.applyChanges(List.of(entry(2, EndpointStatus.READY)));
     EndpointConnectionPool after = table.find(2).pool();
     assertEquals(before.address(), after.address());
     assertNotSame(before, after);
@@ -80,10 +81,10 @@
 
   @Test
   void endpointThatIsReadyAgainIsNotDraining() {
-    table.applyFullList(List.of(host(1, EndpointStatus.READY)));
-    table.applyChanges(List.of(host(1, EndpointStatus.DRAINING)));
-    table.applyChanges(List.of(host(1, EndpointStatus.REMOVED)));
-    table.applyChanges(List.of(host(1, EndpointStatus.READY)));
+    table.applyFullList(List.of(entry(1, EndpointStatus.READY)));
+    table.applyChanges(List.of(entry(1, EndpointStatus.DRAINING)));
+    table.applyChanges(List.of(entry(1, EndpointStatus.REMOVED)));
+    table.applyChanges(List.of(entry(1, EndpointStatus.READY)));
     assertFalse(table.find(1).isDraining());
   }
 }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolsTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolsTest.java
@@ -26,10 +26,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Limits and reuse of pooled connections, and attempts that may not be forwarded any more. */
+/** Tests limits, reuse and closing of pooled connections, on real sockets. */
 class UpstreamConnectionPoolsTest {
 
-  private static final long LONG_NANOS = 60_000_000_000L;
+  private static final long ONE_MINUTE_NANOS = 60_000_000_000L;
 
   private final EventLoop loop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -45,10 +45,10 @@
             "look",
             RequestEffect.IDEMPOTENT,
             DeduplicationScope.ALL,
-            LONG_NANOS,
-            LONG_NANOS,
+            ONE_MINUTE_NANOS,
+            ONE_MINUTE_NANOS,
             0,
-            LONG_NANOS,
+            ONE_MINUTE_NANOS,
             1,
             0,
             false);
@@ -58,11 +58,11 @@
             requestClass,
             "acme",
             "k",
-            LONG_NANOS,
+            ONE_MINUTE_NANOS,
             0,
             false,
             new RequestMessage(HttpMethod.GET, "/look", "h", null, null, new byte[0]));
-    AttemptPlan plan = new AttemptPlan(0, 1, request, 0, LONG_NANOS, () -> mayStillForward);
+    AttemptPlan plan = new AttemptPlan(0, 1, request, 0, ONE_MINUTE_NANOS, () -> mayStillForward);
     new UpstreamAttempt(plan, pool, new EpochClock(), listener).start(loop);
   }
 
@@ -77,28 +77,29 @@
     return statuses.poll(30, TimeUnit.SECONDS);
   }
 
-  private UpstreamConnectionPools pools(long idleTimeoutNanos, int maxConnections)
+  private UpstreamConnectionPools createPools(long idleTimeoutNanos, int maxConnections)
       throws Exception {
     return loop.submit(
             () ->
                 new UpstreamConnectionPools(
-                    loop, new ConnectionLimits(LONG_NANOS, idleTimeoutNanos, maxConnections)))
+                    loop, new ConnectionLimits(ONE_MINUTE_NANOS, idleTimeoutNanos, maxConnections)))
         .get();
   }
 
   @Test
-  void secondCopyOfAResponseIsNotTakenForTheNextRequestsResponse() throws Exception {
-    // The next attempt starts from within the first one's completion, as one for a request that
-    // waits in the policy's queue does.
+  void duplicateResponseIsNotUsedForTheNextRequest() throws Exception {
+    // The second attempt starts in the completion callback of the first, as happens when a request
+    // waits in the policy's queue.
     try (FakeHttpServer upstream =
         new FakeHttpServer(
             (request, connection, out) -> {
               String response =
                   FakeHttpServer.okResponse(
-                      request.contains("X-Correlation-Id: 1\n") ? "mine" : "next");
+                      request.contains("X-Correlation-Id: 1\n") ? "first" : "second");
               FakeHttpServer.write(out, response + response);
             })) {
-      EndpointConnectionPool pool = poolOf(pools(LONG_NANOS, 10), upstream.address());
+      EndpointConnectionPool pool =
+          createPool(createPools(ONE_MINUTE_NANOS, 10), upstream.address());
       BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
       loop.execute(
           () ->
@@ -115,26 +116,26 @@
                         (second, secondStatus, secondResponse) ->
                             bodies.add(new String(secondResponse.body(), StandardCharsets.UTF_8)));
                   }));
-      assertEquals("mine", bodies.poll(30, TimeUnit.SECONDS));
-      assertEquals("next", bodies.poll(30, TimeUnit.SECONDS));
+      assertEquals("first", bodies.poll(30, TimeUnit.SECONDS));
+      assertEquals("second", bodies.poll(30, TimeUnit.SECONDS));
     }
   }
 
-  private EndpointConnectionPool poolOf(UpstreamConnectionPools pools, InetSocketAddress address)
-      throws Exception {
+  private EndpointConnectionPool createPool(
+      UpstreamConnectionPools pools, InetSocketAddress address) throws Exception {
     return loop.submit(() -> pools.createPool(address)).get();
   }
 
   @AfterEach
-  void stop() {
+  void stopLoop() {
     loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
   @Test
-  void attemptThatMayNotBeForwardedAnyMoreWritesNothingAndLeavesItsConnectionToTheNext()
-      throws Exception {
+  void attemptThatMayNoLongerBeForwardedReleasesItsConnectionUnused() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      EndpointConnectionPool pool = poolOf(pools(LONG_NANOS, 10), upstream.address());
+      EndpointConnectionPool pool =
+          createPool(createPools(ONE_MINUTE_NANOS, 10), upstream.address());
       startAttempt(pool, false);
       assertEquals(AttemptStatus.NOT_SENT, nextStatus());
       startAttempt(pool, true);
@@ -147,14 +148,14 @@
   @Test
   void idleConnectionIsClosedBeforeTheUpstreamsIdleTimeout() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      startAttempt(poolOf(pools(100_000_000L, 10), upstream.address()), true);
+      startAttempt(createPool(createPools(100_000_000L, 10), upstream.address()), true);
       assertEquals(AttemptStatus.SERVED, nextStatus());
       TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
     }
   }
 
   @Test
-  void stalePooledConnectionClosesThoseThatWereIdleForLonger() throws Exception {
+  void staleConnectionClosesConnectionsThatWereIdleLonger() throws Exception {
     AtomicInteger waitingRequests = new AtomicInteger();
     try (FakeHttpServer upstream =
         new FakeHttpServer(
@@ -168,7 +169,8 @@
               TestProxy.waitUntil(() -> waitingRequests.get() == 3);
               FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
             })) {
-      EndpointConnectionPool pool = poolOf(pools(LONG_NANOS, 10), upstream.address());
+      EndpointConnectionPool pool =
+          createPool(createPools(ONE_MINUTE_NANOS, 10), upstream.address());
       for (int i = 0; i < 3; i++) {
         startAttempt(pool, true);
       }
@@ -185,34 +187,37 @@
   }
 
   @Test
-  void atTheLimitAnIdleConnectionIsClosedForANewOneAndABusyOneIsNot() throws Exception {
+  void connectionLimitClosesIdleConnectionsButNotBusyOnes() throws Exception {
     try (FakeHttpServer first = FakeHttpServer.respondingWith("fine");
         FakeHttpServer second = new FakeHttpServer((request, connection, out) -> {})) {
-      UpstreamConnectionPools pools = pools(LONG_NANOS, 1);
-      EndpointConnectionPool toFirst = poolOf(pools, first.address());
-      startAttempt(toFirst, true);
+      UpstreamConnectionPools pools = createPools(ONE_MINUTE_NANOS, 1);
+      EndpointConnectionPool firstPool = createPool(pools, first.address());
+      startAttempt(firstPool, true);
       assertEquals(AttemptStatus.SERVED, nextStatus());
-      startAttempt(poolOf(pools, second.address()), true);
+      startAttempt(createPool(pools, second.address()), true);
       TestProxy.waitUntil(
           () -> first.connectionsClosedByPeer.get() == 1 && second.requests.size() == 1);
-      startAttempt(toFirst, true);
+      startAttempt(firstPool, true);
       assertEquals(AttemptStatus.CONNECT_FAILED, nextStatus());
       assertEquals(1, first.requests.size());
     }
   }
 
-  /** Netty signals a socket that it could not make on a thread other than the event loop's. */
+  /**
+   * If Netty cannot create a socket, it reports the failure on a thread other than the event loop's
+   * and never closes the channel, which would then count towards the limit for good.
+   */
   @Test
-  void attemptWithoutADescriptorForItsSocketFailsAtOnceAndTakesNoCapacity() throws Exception {
+  void attemptWithoutAFileDescriptorFailsAtOnceAndUsesNoCapacity() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       AtomicInteger failuresLeft = new AtomicInteger(2);
       EndpointConnectionPool pool =
-          poolOf(
+          createPool(
               loop.submit(
                       () ->
                           new UpstreamConnectionPools(
                               loop,
-                              new ConnectionLimits(LONG_NANOS, LONG_NANOS, 1),
+                              new ConnectionLimits(ONE_MINUTE_NANOS, ONE_MINUTE_NANOS, 1),
                               () -> {
                                 if (failuresLeft.getAndDecrement() > 0) {
                                   throw new ChannelException("too many open files");
