--- a/src/main/java/loadbalancer/proxy/upstream/ResponseReader.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseReader.java
@@ -21,7 +21,7 @@
 
   private static final byte[] STATUS_LINE_START = "HTTP/1.1 ".getBytes(StandardCharsets.US_ASCII);
 
-  /** A response that is preceded by more interim responses is treated as malformed. */
+  /** A response with more interim responses before the final one is treated as malformed. */
   private static final int MAX_INTERIM_RESPONSES = 10;
 
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
@@ -51,6 +51,7 @@
   private ChannelFuture connectFuture;
 
   private ScheduledFuture<?> timeoutTimer;
+  /** Whether writing of the request has started. */
   private boolean isForwarded;
   private long forwardedAtNanos;
   private boolean foundStaleConnection;
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -37,6 +37,7 @@
   /** The attempt that waits for its response; null if there is none. */
   private UpstreamAttempt attempt;
 
+  /** The write of the last request, pending or done; null before the first request. */
   private ChannelFuture requestWrite;
 
   /** Set while a response has been received in part; otherwise null. */
