--- a/src/main/java/loadbalancer/policy/Attempt.java
+++ b/src/main/java/loadbalancer/policy/Attempt.java
@@ -9,10 +9,10 @@
   final long forwardedAtNanos;
 
   /**
-   * The expected time in flight, which {@link InFlightTime} adds when the attempt starts and
-   * corrects when it completes.
+   * The expected latency, which {@link InFlightTime} adds when the attempt starts and replaces with
+   * the real one when it completes.
    */
-  final double chargedNanos;
+  final double expectedLatencyNanos;
 
   /** Whether the attempt has not completed yet. */
   boolean isInFlight = true;
@@ -21,9 +21,9 @@
   boolean mayHaveRun = true;
 
   /** Creates an attempt that is in flight. */
-  Attempt(Endpoint endpoint, long forwardedAtNanos, double chargedNanos) {
+  Attempt(Endpoint endpoint, long forwardedAtNanos, double expectedLatencyNanos) {
     this.endpoint = endpoint;
     this.forwardedAtNanos = forwardedAtNanos;
-    this.chargedNanos = chargedNanos;
+    this.expectedLatencyNanos = expectedLatencyNanos;
   }
 }
--- a/src/main/java/loadbalancer/policy/AttemptRecorder.java
+++ b/src/main/java/loadbalancer/policy/AttemptRecorder.java
@@ -7,8 +7,8 @@
  * Records completed attempts in the statistics, the moving averages and the outlier detection.
  *
  * <p>A latency sample is the time since the request's arrival, as a multiple of its latency
- * objective. Local delay, the time that an attempt waited in this process, is subtracted because
- * the endpoint does not cause it.
+ * objective. Local delay (see {@link ResponseStatistics}) is subtracted, since the endpoint does
+ * not cause it.
  */
 final class AttemptRecorder {
   /** Local delays up to this many clock ticks count as rounding errors of the clock. */
@@ -97,8 +97,8 @@
   }
 
   /**
-   * Returns the time since forwarding that is not part of the attempt's latency; 0 if within the
-   * clock's rounding error.
+   * The attempt's local delay: the time since forwarding, less its latency; 0 if within the clock's
+   * rounding error.
    */
   private long localDelayNanos(Attempt attempt, AttemptCompleted completed, long nowNanos) {
     long delayNanos = nowNanos - attempt.forwardedAtNanos - completed.latencyNanos();
--- a/src/main/java/loadbalancer/policy/ConcurrencyLimit.java
+++ b/src/main/java/loadbalancer/policy/ConcurrencyLimit.java
@@ -26,8 +26,8 @@
   /**
    * The limit, in average requests; {@link Double#MAX_VALUE} until the endpoint has served enough
    * for its rate to be measured, since a restarted balancer would otherwise admit too little to
-   * measure it. The local delay, the time that attempts waited in this process, is added to the
-   * target latency, so that a slow balancer does not limit itself.
+   * measure it. The local delay (see {@link ResponseStatistics}) is added to the target latency, so
+   * that a slow balancer does not limit itself.
    */
   double limitOf(Endpoint endpoint, long nowNanos) {
     ResponseStatistics responses = endpoint.responses;
--- a/src/main/java/loadbalancer/policy/Endpoint.java
+++ b/src/main/java/loadbalancer/policy/Endpoint.java
@@ -15,7 +15,7 @@
   /** Statistics of its served attempts; maintained by {@link AttemptRecorder}. */
   final ResponseStatistics responses;
 
-  /** The time that its attempts were in flight; maintained by {@link InFlightTime}. */
+  /** The time that its recent attempts were in flight; maintained by {@link InFlightTime}. */
   final SlidingWindow inFlightTime;
 
   /** Its state in {@link OutlierDetector}. */
--- a/src/main/java/loadbalancer/policy/InFlightTime.java
+++ b/src/main/java/loadbalancer/policy/InFlightTime.java
@@ -6,25 +6,26 @@
 import loadbalancer.policy.settings.RequestClass;
 
 /**
- * History of the time that attempts were in flight during the last ten seconds, per endpoint and in
- * total.
+ * The total time that attempts were in flight during the last ten seconds, per endpoint and for the
+ * fleet. Divided by the average latency of an attempt, it gives the number of recent attempts.
  *
  * <p>When many balancers share the traffic, each has hardly one attempt in flight, so the present
- * number of attempts in flight says little about an endpoint's load. {@link LoadBound} and {@link
- * KeySpread} then use this history too. An attempt is charged the average latency when it starts,
- * and the difference to its real latency when it completes.
+ * number of attempts in flight says little about an endpoint's load. {@link LoadBound} then bounds
+ * the recent attempts too. {@link KeySpread} and {@link AdmissionController} ask whether traffic is
+ * that sparse. The expected latency of an attempt is added when it starts, and the difference to
+ * its real latency when it completes.
  */
 final class InFlightTime {
-  private static final long HISTORY_NANOS = 10_000_000_000L;
+  private static final long WINDOW_NANOS = 10_000_000_000L;
 
   /** Traffic is sparse if an endpoint has fewer attempts than this in flight on average. */
   private static final double SPARSE_IN_FLIGHT_PER_ENDPOINT = 0.12;
 
   /**
-   * The minimum charge of an attempt that was not served, in latency objectives. It relieves an
-   * overloaded endpoint and keeps a failing one from looking idle.
+   * The minimum time added for an attempt that was not served, in latency objectives. It relieves
+   * an overloaded endpoint and keeps a failing one from looking idle.
    */
-  private static final double MIN_FAILURE_CHARGE_IN_OBJECTIVES = 4;
+  private static final double MIN_FAILURE_TIME_IN_OBJECTIVES = 4;
 
   private static final double SMOOTHING_FACTOR = 0.005;
 
@@ -32,7 +33,7 @@
   private double smoothedLatencyNanos;
 
   /**
-   * Creates an empty history.
+   * Creates empty windows.
    *
    * @param initialLatencyNanos the average latency to assume before any attempt was served
    */
@@ -40,36 +41,36 @@
     smoothedLatencyNanos = initialLatencyNanos;
   }
 
-  /** Creates an empty history for one endpoint, to be kept in {@link Endpoint#inFlightTime}. */
+  /** Creates an empty window for one endpoint, to be kept in {@link Endpoint#inFlightTime}. */
   static SlidingWindow newWindow(long nowNanos) {
-    return new SlidingWindow(HISTORY_NANOS, nowNanos);
+    return new SlidingWindow(WINDOW_NANOS, nowNanos);
   }
 
   /**
-   * Charges the endpoint with the expected time in flight of an attempt that starts now.
+   * Adds the expected latency of an attempt that starts now.
    *
    * @param load the request's load, in average requests
-   * @return the charged time in nanoseconds
+   * @return the expected latency in nanoseconds, to be kept in {@link Attempt#expectedLatencyNanos}
    */
-  double charge(Endpoint endpoint, double load, long nowNanos) {
-    double chargedNanos = smoothedLatencyNanos * load;
-    endpoint.inFlightTime.add(nowNanos, Metric.LATENCY, chargedNanos);
-    fleet.add(nowNanos, Metric.LATENCY, chargedNanos);
-    return chargedNanos;
+  double attemptStarted(Endpoint endpoint, double load, long nowNanos) {
+    double expectedLatencyNanos = smoothedLatencyNanos * load;
+    endpoint.inFlightTime.add(nowNanos, Metric.LATENCY, expectedLatencyNanos);
+    fleet.add(nowNanos, Metric.LATENCY, expectedLatencyNanos);
+    return expectedLatencyNanos;
   }
 
   /**
-   * Replaces the charge of a completed attempt with its real latency. An attempt that was not
-   * served is charged at least a minimum, unless it found a stale connection.
+   * Replaces the expected latency of a completed attempt with its real one. An attempt that was not
+   * served counts with at least a minimum time, unless it found a stale connection.
    */
-  void settle(
+  void attemptCompleted(
       Attempt attempt, RequestClass requestClass, AttemptCompleted completed, long nowNanos) {
     double minNanos = 0;
     if (completed.status() != AttemptStatus.SERVED && !completed.foundStaleConnection()) {
-      minNanos = MIN_FAILURE_CHARGE_IN_OBJECTIVES * requestClass.latencyObjectiveNanos();
+      minNanos = MIN_FAILURE_TIME_IN_OBJECTIVES * requestClass.latencyObjectiveNanos();
     }
     double differenceNanos =
-        Math.max(minNanos, (double) completed.latencyNanos()) - attempt.chargedNanos;
+        Math.max(minNanos, (double) completed.latencyNanos()) - attempt.expectedLatencyNanos;
     attempt.endpoint.inFlightTime.add(nowNanos, Metric.LATENCY, differenceNanos);
     fleet.add(nowNanos, Metric.LATENCY, differenceNanos);
   }
@@ -79,12 +80,12 @@
     smoothedLatencyNanos += (latencyNanos - smoothedLatencyNanos) * SMOOTHING_FACTOR;
   }
 
-  /** Returns the history of all endpoints, in attempts of average latency. */
+  /** The recent attempts of all endpoints: their time in flight, in average latencies. */
   double recentAttempts(long nowNanos) {
     return fleet.total(nowNanos, Metric.LATENCY) / smoothedLatencyNanos;
   }
 
-  /** Returns the history of one endpoint, in attempts of average latency. */
+  /** The recent attempts of one endpoint: their time in flight, in average latencies. */
   double recentAttempts(Endpoint endpoint, long nowNanos) {
     return endpoint.inFlightTime.total(nowNanos, Metric.LATENCY) / smoothedLatencyNanos;
   }
@@ -95,6 +96,6 @@
    */
   boolean isTrafficSparse(int readyEndpoints, long nowNanos) {
     return fleet.total(nowNanos, Metric.LATENCY)
-        < SPARSE_IN_FLIGHT_PER_ENDPOINT * readyEndpoints * HISTORY_NANOS;
+        < SPARSE_IN_FLIGHT_PER_ENDPOINT * readyEndpoints * WINDOW_NANOS;
   }
 }
--- a/src/main/java/loadbalancer/policy/KeySpread.java
+++ b/src/main/java/loadbalancer/policy/KeySpread.java
@@ -3,19 +3,20 @@
 import loadbalancer.policy.SlidingWindow.Metric;
 
 /**
- * Limits the number of endpoints that the requests of one key are spread over. An endpoint that
- * caches keys serves a key that it does not hold at a higher cost. Moving keys away from their
+ * Limits the number of endpoints that the requests of one affinity key are spread over. An endpoint
+ * that caches keys serves a key that it does not hold at a higher cost. Moving keys away from their
  * endpoints under high load would therefore add load, and so move further keys. Called by {@link
  * BoundedLoadPlacement} once for each walk.
  */
 final class KeySpread {
-  private static final int MIN_ENDPOINTS_PER_KEY = 2;
+  /** The number of endpoints that any key may use, however little traffic it has. */
+  private static final int BASE_ENDPOINTS_PER_KEY = 2;
 
   /**
-   * In addition, a key gets this multiple of its fraction of the traffic, as a fraction of the
-   * ready endpoints.
+   * The fraction of the ready endpoints that a key may use in addition, as a multiple of the key's
+   * fraction of the traffic: a key with 10% of the traffic may use another 20% of the endpoints.
    */
-  private static final double ENDPOINTS_PER_TRAFFIC_FRACTION = 2;
+  private static final double ENDPOINT_FRACTION_PER_TRAFFIC_FRACTION = 2;
 
   private final boolean endpointsCacheKeys;
   private final EndpointRegistry registry;
@@ -46,6 +47,7 @@
       return ready;
     }
     double keyFraction = keyTraffic / Math.max(1, allTraffic);
-    return MIN_ENDPOINTS_PER_KEY + Math.ceil(ENDPOINTS_PER_TRAFFIC_FRACTION * ready * keyFraction);
+    return BASE_ENDPOINTS_PER_KEY
+        + Math.ceil(ENDPOINT_FRACTION_PER_TRAFFIC_FRACTION * ready * keyFraction);
   }
 }
--- a/src/main/java/loadbalancer/policy/LoadBound.java
+++ b/src/main/java/loadbalancer/policy/LoadBound.java
@@ -3,8 +3,8 @@
 /**
  * The upper bounds on an endpoint's load in bounded-load placement. Its load in flight may exceed
  * the mean of the ready endpoints by a fixed fraction, but never its {@link ConcurrencyLimit}. If
- * so little is in flight that the mean is not significant, the endpoint's recent attempts, as
- * measured by {@link InFlightTime}, are bounded in the same way.
+ * traffic is so sparse that the mean is not significant, the endpoint's recent attempts, as
+ * estimated by {@link InFlightTime}, are bounded in the same way.
  */
 final class LoadBound {
   /** The fraction by which an endpoint's load in flight may exceed the mean. */
--- a/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -83,8 +83,8 @@
 
   /**
    * Whether the endpoint has attempts in flight and has been silent for far longer than usual.
-   * Local delay, the time that attempts wait in this process, does not count as silence of the
-   * endpoint, so a slow balancer detects a dead endpoint later.
+   * Local delay (see {@link ResponseStatistics}) does not count as silence of the endpoint, so a
+   * slow balancer detects a dead endpoint later.
    */
   boolean isUnresponsive(Endpoint endpoint, long nowNanos) {
     double meanIntervalNanos =
@@ -101,8 +101,11 @@
     return endpoint.outlierState.ejectedUntilNanos > nowNanos;
   }
 
-  /** Records an attempt that is about to start; to be called before it is counted as in flight. */
-  void beforeAttempt(Endpoint endpoint, long nowNanos) {
+  /**
+   * Records that an attempt starts; to be called before {@link EndpointRegistry#attemptStarted},
+   * which counts it as in flight.
+   */
+  void attemptStarted(Endpoint endpoint, long nowNanos) {
     State state = endpoint.outlierState;
     if (endpoint.inFlight() == 0) {
       state.lastActivityNanos = nowNanos;
--- a/src/main/java/loadbalancer/policy/RequestLifecycle.java
+++ b/src/main/java/loadbalancer/policy/RequestLifecycle.java
@@ -187,10 +187,11 @@
 
   private void forward(
       PendingRequest pending, Endpoint endpoint, long nowNanos, Consumer<Action> actions) {
-    double chargedNanos = components.inFlightTime.charge(endpoint, pending.load, nowNanos);
-    pending.attempts.add(new Attempt(endpoint, nowNanos, chargedNanos));
+    double expectedLatencyNanos =
+        components.inFlightTime.attemptStarted(endpoint, pending.load, nowNanos);
+    pending.attempts.add(new Attempt(endpoint, nowNanos, expectedLatencyNanos));
     pending.inFlight++;
-    components.outlierDetector.beforeAttempt(endpoint, nowNanos);
+    components.outlierDetector.attemptStarted(endpoint, nowNanos);
     components.registry.attemptStarted(endpoint, pending.load);
     components.slowStart.attemptStarted(endpoint, pending.load, nowNanos);
     long timeoutNanos = pending.request.deadlineNanos() - nowNanos;
@@ -210,7 +211,7 @@
     pending.inFlight--;
     components.registry.attemptCompleted(attempt.endpoint, pending.load);
     components.outlierDetector.attemptCompleted(attempt.endpoint, nowNanos);
-    components.inFlightTime.settle(attempt, pending.requestClass, completed, nowNanos);
+    components.inFlightTime.attemptCompleted(attempt, pending.requestClass, completed, nowNanos);
     components.recorder.record(pending, attempt, completed, nowNanos);
     completeOrRetry(completed, pending, nowNanos, actions);
     forwardQueued(nowNanos, actions);
--- a/src/main/java/loadbalancer/policy/ResponseStatistics.java
+++ b/src/main/java/loadbalancer/policy/ResponseStatistics.java
@@ -4,8 +4,11 @@
 
 /**
  * Latencies, latency objectives and local delays of an endpoint's served attempts, over a sliding
- * window. The local delay of an attempt is the time that it waited in this process. {@link
- * ConcurrencyLimit} and {@link OutlierDetector} use these statistics.
+ * window. {@link ConcurrencyLimit} and {@link OutlierDetector} use these statistics.
+ *
+ * <p>The local delay of an attempt is the time that it waited in this process: the time from the
+ * decision to forward it until its completion is handled, less its latency. The endpoint does not
+ * cause it.
  */
 final class ResponseStatistics {
   private static final double NANOS_PER_SECOND = 1e9;
@@ -21,8 +24,8 @@
   /**
    * Adds a served attempt.
    *
-   * @param latencyNanos the time from forwarding the attempt to its response
-   * @param localDelayNanos the time that the attempt waited in this process
+   * @param latencyNanos the attempt's latency, without the local delay
+   * @param localDelayNanos the attempt's local delay
    */
   void record(PendingRequest pending, long latencyNanos, long localDelayNanos, long nowNanos) {
     if (firstServedNanos == 0) {
--- a/src/main/java/loadbalancer/policy/SlidingWindow.java
+++ b/src/main/java/loadbalancer/policy/SlidingWindow.java
@@ -25,7 +25,9 @@
     LATENCY,
     /** The sum of the sampled requests' latency objectives, in the unit that the caller uses. */
     OBJECTIVE,
-    /** The sum of the times that sampled requests waited in this process. */
+    /**
+     * The sum of the sampled attempts' local delays, as {@link ResponseStatistics} defines them.
+     */
     LOCAL_DELAY
   }
 
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -93,7 +93,10 @@
     return state.credit >= 1;
   }
 
-  /** Charges a forwarded attempt, of the given load in average requests, to a warming endpoint. */
+  /**
+   * Subtracts the load of a forwarded attempt, in average requests, from a warming endpoint's
+   * credit.
+   */
   void attemptStarted(Endpoint endpoint, double load, long nowNanos) {
     if (isWarmingUp(endpoint, nowNanos)) {
       endpoint.slowStartState.credit -= load;
