--- a/src/main/java/loadbalancer/policy/BoundedLoadPlacement.java
+++ b/src/main/java/loadbalancer/policy/BoundedLoadPlacement.java
@@ -5,15 +5,15 @@
 
 /**
  * Chooses the endpoint of an attempt by consistent hashing with bounded loads (Mirrokni, Thorup and
- * Zadimoghaddam, 2016): walks the hash ring from the position of the request's key to the first
- * endpoint whose load is below its bound. The requests of a key thus stay on few endpoints, and no
- * endpoint gets far more load than the mean. Endpoints in the local zone are preferred. Called by
- * {@link RequestLifecycle} for each attempt.
+ * Zadimoghaddam, 2016): walks the hash ring from the position of the request's affinity key to the
+ * first endpoint whose load is below its bound. The requests of a key thus stay on few endpoints,
+ * and no endpoint gets far more load than the mean. Endpoints in the local zone are preferred.
+ * Called by {@link RequestLifecycle} for each attempt.
  */
 final class BoundedLoadPlacement {
 
   /**
-   * The constraints that a placement applies.
+   * The constraints on the endpoint of an attempt.
    *
    * @param keySpread limits the number of endpoints that the requests of one key use
    * @param loadBound limits the load of each endpoint
@@ -21,7 +21,7 @@
    * @param outlierDetector excludes endpoints that are ejected or unresponsive
    * @param retrySafety excludes endpoints at which a repeated request could take effect twice
    */
-  record Rules(
+  record Constraints(
       KeySpread keySpread,
       LoadBound loadBound,
       SlowStart slowStart,
@@ -82,14 +82,15 @@
    *
    * @param random the policy's source of randomness
    */
-  BoundedLoadPlacement(SplittableRandom random, EndpointRegistry registry, Rules rules) {
+  BoundedLoadPlacement(
+      SplittableRandom random, EndpointRegistry registry, Constraints constraints) {
     this.random = random;
     this.registry = registry;
-    keySpread = rules.keySpread();
-    loadBound = rules.loadBound();
-    slowStart = rules.slowStart();
-    outlierDetector = rules.outlierDetector();
-    retrySafety = rules.retrySafety();
+    keySpread = constraints.keySpread();
+    loadBound = constraints.loadBound();
+    slowStart = constraints.slowStart();
+    outlierDetector = constraints.outlierDetector();
+    retrySafety = constraints.retrySafety();
   }
 
   /**
@@ -162,8 +163,8 @@
   }
 
   private int startPosition(PendingRequest pending, HashRing ring) {
-    String key = pending.request.key();
-    return ring.positionOf(key == null ? "" + random.nextLong() : key);
+    String affinityKey = pending.request.affinityKey();
+    return ring.positionOf(affinityKey == null ? "" + random.nextLong() : affinityKey);
   }
 
   private boolean isEligible(PendingRequest pending, Endpoint endpoint, long nowNanos) {
--- a/src/main/java/loadbalancer/policy/PolicyComponents.java
+++ b/src/main/java/loadbalancer/policy/PolicyComponents.java
@@ -70,7 +70,7 @@
         new BoundedLoadPlacement(
             random,
             registry,
-            new BoundedLoadPlacement.Rules(
+            new BoundedLoadPlacement.Constraints(
                 new KeySpread(settings.endpointsCacheKeys(), registry, traffic, inFlightTime),
                 new LoadBound(registry, inFlightTime, new ConcurrencyLimit(windowNanos)),
                 slowStart,
--- a/src/main/java/loadbalancer/policy/TrafficStatistics.java
+++ b/src/main/java/loadbalancer/policy/TrafficStatistics.java
@@ -7,10 +7,10 @@
 import loadbalancer.policy.event.RequestArrived;
 
 /**
- * The traffic of this balancer, counted in sliding windows: one for each key, one for each class
- * and tenant, one each for all requests within and over quota, and one for the whole fleet.
- * Latencies are in multiples of the request's latency objective, so that classes can share a
- * window.
+ * The traffic of this balancer, counted in sliding windows: one for each class, tenant and affinity
+ * key, one for each class and tenant, one each for all requests within and over quota, and one for
+ * the whole fleet. Latencies are in multiples of the request's latency objective, so that classes
+ * can share a window.
  *
  * <p>{@link AdmissionController} decides by these windows. The retry budget, hedging, slow start
  * and placement use the totals.
@@ -56,7 +56,7 @@
   TrafficWindows windowsOf(RequestArrived request, boolean isOverQuota, long nowNanos) {
     String name = request.className() + ' ' + request.tenant() + (isOverQuota ? " over" : "");
     SlidingWindow classAndTenant = windowNamed(name, nowNanos);
-    SlidingWindow key = windowNamed(name + ' ' + request.key(), nowNanos);
+    SlidingWindow key = windowNamed(name + ' ' + request.affinityKey(), nowNanos);
     return new TrafficWindows(
         isOverQuota, isOverQuota ? overQuota : withinQuota, classAndTenant, key);
   }
--- a/src/main/java/loadbalancer/policy/TrafficWindows.java
+++ b/src/main/java/loadbalancer/policy/TrafficWindows.java
@@ -7,7 +7,7 @@
  * @param isOverQuota whether the request is over its tenant's quota
  * @param quotaGroup counts the requests of all classes and tenants
  * @param classAndTenant counts the requests of the same class and tenant
- * @param key counts the requests of the same class, tenant and key
+ * @param key counts the requests of the same class, tenant and affinity key
  */
 record TrafficWindows(
     boolean isOverQuota,
--- a/src/main/java/loadbalancer/policy/event/RequestArrived.java
+++ b/src/main/java/loadbalancer/policy/event/RequestArrived.java
@@ -7,17 +7,18 @@
  * @param requestId unique among all requests; a client's retry is a new request
  * @param className the name of the request class in the settings
  * @param tenant the name of the tenant, or null if the deployment has no tenants
- * @param key identifies what the request concerns and is used for affinity; null if there is none
+ * @param affinityKey identifies what the request concerns; requests with the same key are sent to
+ *     the same endpoint if possible; null if the request has none
  * @param deadlineNanos when the client stops waiting, on the balancer's clock
  * @param workHintNanos the expected work, as time on a standard core; 0 if there was no hint
- * @param clientRetry whether the client marked the request as a retry
+ * @param isClientRetry whether the client marked the request as its own retry of an earlier one
  */
 public record RequestArrived(
     String requestId,
     String className,
     String tenant,
-    String key,
+    String affinityKey,
     long deadlineNanos,
     long workHintNanos,
-    boolean clientRetry)
+    boolean isClientRetry)
     implements Event {}
--- a/src/test/java/loadbalancer/policy/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/policy/RequestLifecycleTest.java
@@ -41,7 +41,7 @@
     PolicyDriver driver =
         PolicyDriver.withReadyEndpoints(
             new TestSettings()
-                .requests(RequestEffect.NOT_IDEMPOTENT, DeduplicationScope.ALL)
+                .requestEffect(RequestEffect.NOT_IDEMPOTENT, DeduplicationScope.ALL)
                 .build(),
             1);
     driver.requestArrives("r", "k");
--- a/src/test/java/loadbalancer/policy/RetrySafetyTest.java
+++ b/src/test/java/loadbalancer/policy/RetrySafetyTest.java
@@ -39,7 +39,7 @@
   /** Forwards a request to {@link #FIRST}, then adds the other endpoints to the list. */
   private static PolicyDriver firstAttemptInFlight(
       RequestEffect effect, DeduplicationScope scope, long... otherEndpointIds) {
-    PolicyDriver driver = new PolicyDriver(new TestSettings().requests(effect, scope).build());
+    PolicyDriver driver = new PolicyDriver(new TestSettings().requestEffect(effect, scope).build());
     driver.updateEndpoints(EndpointListUpdate.Kind.CACHED, endpoint(FIRST));
     driver.requestArrives(REQUEST_ID, "k");
     driver.updateEndpoints(
--- a/src/test/java/loadbalancer/policy/TestSettings.java
+++ b/src/test/java/loadbalancer/policy/TestSettings.java
@@ -73,7 +73,7 @@
   }
 
   /** Sets the effect and deduplication scope of the request class. */
-  TestSettings requests(RequestEffect effect, DeduplicationScope scope) {
+  TestSettings requestEffect(RequestEffect effect, DeduplicationScope scope) {
     requestClass = requestClass(effect, scope);
     return this;
   }
