--- a/src/main/java/loadbalancer/policy/action/ForwardAttempt.java
+++ b/src/main/java/loadbalancer/policy/action/ForwardAttempt.java
@@ -6,7 +6,7 @@
  *
  * @param requestId the identifier of the request
  * @param endpointId the identifier of the endpoint
- * @param timeoutNanos the attempt's time-out; 0 for the time left until the request's deadline
+ * @param timeoutNanos the attempt's timeout; 0 for the time left until the request's deadline
  */
 public record ForwardAttempt(String requestId, long endpointId, long timeoutNanos)
     implements Action {}
--- a/src/main/java/loadbalancer/policy/event/AttemptCompleted.java
+++ b/src/main/java/loadbalancer/policy/event/AttemptCompleted.java
@@ -9,7 +9,8 @@
  * @param attempt the attempt's index, counted from 0 in forwarding order
  * @param endpointId the identifier of the endpoint that the attempt was forwarded to
  * @param status the outcome of the attempt
- * @param latencyNanos the time since the attempt was forwarded
+ * @param latencyNanos the time that the endpoint took: less than the time since the attempt was
+ *     forwarded, if the attempt waited in the balancer
  * @param requestCompleted whether the request is completed and needs no final response any more;
  *     the first {@link AttemptStatus#SERVED} attempt completes it without an action of the policy
  * @param loadReport the endpoint's load report; empty if it sent none
--- a/src/main/java/loadbalancer/policy/event/AttemptStatus.java
+++ b/src/main/java/loadbalancer/policy/event/AttemptStatus.java
@@ -8,15 +8,15 @@
   ERROR,
   /** The endpoint rejected the request without processing it: its queue is full or it drains. */
   REJECTED,
-  /** No response arrived within the attempt's time-out; the request may have run or may yet run. */
+  /** No response arrived within the attempt's timeout; the request may have run or may yet run. */
   TIMEOUT,
-  /** No connection could be established, so nothing was sent. */
+  /** No connection could be established, or it broke before the complete request was sent. */
   CONNECT_FAILED,
-  /** The connection broke after the request was sent; the request may have run. */
+  /** The connection broke after the complete request was sent; the request may have run. */
   RESET,
   /** The balancer cancelled the attempt; the request may have run. */
   CANCELLED,
-  /** The attempt was not started: the request was completed or had no attempts left. */
+  /** Nothing was sent, since the attempt was no longer allowed when it was to be sent. */
   NOT_SENT;
 
   /** Returns whether this status proves that the endpoint never ran the request. */
--- a/src/main/java/loadbalancer/policy/settings/Limits.java
+++ b/src/main/java/loadbalancer/policy/settings/Limits.java
@@ -12,7 +12,7 @@
  * @param maxAttempts the maximum number of attempts per request
  * @param maxOpenRequests the maximum number of requests pending in one balancer
  * @param streamsPerConnection the maximum number of concurrent attempts on one connection
- * @param connectTimeoutNanos the time-out for establishing a connection
+ * @param connectTimeoutNanos the timeout for establishing a connection
  * @param connectionIdleTimeoutNanos the idle time after which endpoints close a connection
  */
 public record Limits(
--- a/src/main/java/loadbalancer/policy/settings/ServiceRules.java
+++ b/src/main/java/loadbalancer/policy/settings/ServiceRules.java
@@ -3,7 +3,7 @@
 /**
  * The parameters of the service's rules, which every balancer must follow.
  *
- * @param responseSlackNanos how long after a request's deadline its final answer still counts
+ * @param responseSlackNanos how long after a request's deadline its final response still counts
  * @param maxPollIntervalNanos the longest time between two polls of the endpoint list; 0 if it is
  *     pushed
  * @param drainGraceNanos how long after the notification a draining endpoint may still get requests
--- a/src/main/java/loadbalancer/proxy/http/ClientRequest.java
+++ b/src/main/java/loadbalancer/proxy/http/ClientRequest.java
@@ -14,7 +14,7 @@
  *     request; at most the class's deadline
  * @param workHintNanos the client's estimate of the work, as processing time on a standard core; 0
  *     if it gave none
- * @param isClientRetry whether the client has marked the request as its own retry of an earlier one
+ * @param isClientRetry whether the client marked the request as its own retry of an earlier one
  * @param message the parts that are forwarded to the upstream
  */
 public record ClientRequest(
--- a/src/main/java/loadbalancer/proxy/upstream/AttemptPlan.java
+++ b/src/main/java/loadbalancer/proxy/upstream/AttemptPlan.java
@@ -12,9 +12,10 @@
  * @param request the client's request
  * @param decidedAtNanos when the policy made the decision, on the {@link EpochClock}
  * @param timeoutNanos the attempt's timeout, counted from the decision
- * @param mayStillForward evaluated on the event loop immediately before the request is written. A
- *     connection may have to be opened between the decision and the write; if the condition no
- *     longer holds, nothing is sent.
+ * @param mayStillForward checks on the event loop, immediately before the request is written,
+ *     whether the attempt may still be forwarded: the state may have changed while a connection was
+ *     opened. If it returns false, nothing is sent. The check completes the request if its client
+ *     has disconnected.
  */
 public record AttemptPlan(
     int index,
--- a/src/test/java/loadbalancer/policy/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/policy/RequestLifecycleTest.java
@@ -35,7 +35,7 @@
     assertTrue(PolicyDriver.contains(driver.advance(millis(2000)), RejectRequest.class));
   }
 
-  /** The proxy may never report a time-out; the final response is still due within the slack. */
+  /** The proxy may never report a timeout; the final response is still due within the slack. */
   @Test
   void requestFailsAfterItsDeadlineEvenIfItsAttemptNeverCompletes() {
     PolicyDriver driver =
