--- a/src/main/java/loadbalancer/policy/AdaptiveLoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/policy/AdaptiveLoadBalancingPolicy.java
@@ -103,17 +103,17 @@
     components.registry.apply(update, nowNanos);
   }
 
-  /** Returns the number of requests without a final response or with an attempt in flight. */
+  /** The number of requests without a final response or with an attempt in flight. */
   int pendingRequests() {
     return requestLifecycle.pendingRequests();
   }
 
-  /** Returns the number of requests that wait for an endpoint with capacity. */
+  /** The number of requests that wait for an endpoint with capacity. */
   int queuedRequests() {
     return requestLifecycle.queuedRequests();
   }
 
-  /** Returns the number of sliding windows that are tracked by name. */
+  /** The number of sliding windows that are tracked by name. */
   int trackedWindows() {
     return components.traffic.trackedWindows();
   }
--- a/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -111,9 +111,9 @@
   }
 
   /**
-   * Returns the window whose latency decides: the one of the key if it has enough samples,
-   * otherwise the one of the class and tenant. If that has too few and traffic is sparse, the
-   * window of all requests within quota or of all over quota is used.
+   * The window whose latency decides: the one of the key if it has enough samples, otherwise the
+   * one of the class and tenant. If that has too few and traffic is sparse, the window of all
+   * requests within quota or of all over quota is used.
    */
   private SlidingWindow selectWindow(TrafficWindows windows, long nowNanos) {
     if (hasEnoughSamples(windows.key(), nowNanos)) {
@@ -141,9 +141,9 @@
   }
 
   /**
-   * Returns whether the request must not be rejected for high latency: it is within its tenant's
-   * quota, and this balancer has less load in flight than on average while the fleet was healthy,
-   * so its own load is not what causes the latency.
+   * Whether the request must not be rejected for high latency: it is within its tenant's quota, and
+   * this balancer has less load in flight than on average while the fleet was healthy, so its own
+   * load is not what causes the latency.
    */
   private boolean isExempt(PendingRequest pending) {
     return !pending.isOverQuota()
--- a/src/main/java/loadbalancer/policy/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/policy/HedgingPolicy.java
@@ -41,7 +41,7 @@
     tokens = Math.min(MAX_TOKENS, tokens + amount);
   }
 
-  /** Returns whether the request has one attempt in flight and may get a second one now. */
+  /** Whether the request has one attempt in flight and may get a second one now. */
   boolean mayHedge(PendingRequest pending, long nowNanos) {
     return pending.inFlight == 1
         && limits.hedging()
@@ -53,7 +53,7 @@
         && traffic.isFleetHealthy(nowNanos);
   }
 
-  /** Returns when a hedge is no longer useful. */
+  /** When a hedge is no longer useful. */
   private static long hedgeDeadlineNanos(PendingRequest pending) {
     return Math.min(
         pending.request.deadlineNanos(),
--- a/src/main/java/loadbalancer/policy/InFlightTime.java
+++ b/src/main/java/loadbalancer/policy/InFlightTime.java
@@ -91,8 +91,8 @@
   }
 
   /**
-   * Returns whether so few attempts are in flight per ready endpoint that their present number says
-   * little about the load.
+   * Whether so few attempts are in flight per ready endpoint that their present number says little
+   * about the load.
    */
   boolean isTrafficSparse(int readyEndpoints, long nowNanos) {
     return fleet.total(nowNanos, Metric.LATENCY)
--- a/src/main/java/loadbalancer/policy/LatencyObjectives.java
+++ b/src/main/java/loadbalancer/policy/LatencyObjectives.java
@@ -26,8 +26,8 @@
   }
 
   /**
-   * Returns the length of the sliding windows that admission decides by: long enough for a stable
-   * mean latency, and short enough to follow a change of it.
+   * The length of the sliding windows that admission decides by: long enough for a stable mean
+   * latency, and short enough to follow a change of it.
    */
   long statisticsWindowNanos() {
     return Math.max(MIN_WINDOW_NANOS, (long) (WINDOW_IN_OBJECTIVES * longestNanos));
--- a/src/main/java/loadbalancer/policy/LatencyRateLimiter.java
+++ b/src/main/java/loadbalancer/policy/LatencyRateLimiter.java
@@ -24,7 +24,7 @@
   }
 
   /**
-   * Returns the allowed rate at a mean latency.
+   * The allowed rate at a mean latency.
    *
    * @param meanLatency the mean latency, in the unit of the two thresholds
    * @param maxRate the rate up to the healthy latency, in requests per any unit of time
--- a/src/main/java/loadbalancer/policy/PendingRequest.java
+++ b/src/main/java/loadbalancer/policy/PendingRequest.java
@@ -51,22 +51,22 @@
     this.windows = windows;
   }
 
-  /** Returns whether the request is over its tenant's quota. */
+  /** Whether the request is over its tenant's quota. */
   boolean isOverQuota() {
     return windows.isOverQuota();
   }
 
-  /** Returns whether an attempt with this index exists and has not completed. */
+  /** Whether an attempt with this index exists and has not completed. */
   boolean isInFlight(int attemptIndex) {
     return attemptIndex < attempts.size() && attempts.get(attemptIndex).isInFlight;
   }
 
-  /** Returns the most recent attempt; the request must have at least one. */
+  /** The most recent attempt; the request must have at least one. */
   Attempt lastAttempt() {
     return attempts.get(attempts.size() - 1);
   }
 
-  /** Returns whether any endpoint may have run the request. */
+  /** Whether any endpoint may have run the request. */
   boolean mayHaveRun() {
     for (Attempt attempt : attempts) {
       if (attempt.mayHaveRun) {
--- a/src/main/java/loadbalancer/policy/RequestLifecycle.java
+++ b/src/main/java/loadbalancer/policy/RequestLifecycle.java
@@ -109,7 +109,7 @@
     actions.accept(new RejectRequest(request.requestId(), retryAfterNanos()));
   }
 
-  /** Returns a random delay, so that rejected clients do not all retry at the same time. */
+  /** A random delay, so that rejected clients do not all retry at the same time. */
   private long retryAfterNanos() {
     return settings.limits().retryAfter()
         ? random.nextLong(settings.limits().maxRetryAfterNanos() + 1)
@@ -252,7 +252,7 @@
     sweepTimer.schedule(Math.max(nowNanos + MIN_SWEEP_DELAY_NANOS, nextNanos), actions);
   }
 
-  /** Returns when a request in flight expires: after its deadline, within the response slack. */
+  /** When a request in flight expires: after its deadline, within the response slack. */
   private long expiryNanos(PendingRequest pending) {
     return pending.request.deadlineNanos() + settings.serviceRules().responseSlackNanos() / 2;
   }
@@ -284,12 +284,12 @@
     }
   }
 
-  /** Returns the number of requests without a final response or with an attempt in flight. */
+  /** The number of requests without a final response or with an attempt in flight. */
   int pendingRequests() {
     return pendingRequests.size();
   }
 
-  /** Returns the number of requests that wait for an endpoint with capacity. */
+  /** The number of requests that wait for an endpoint with capacity. */
   int queuedRequests() {
     return queue.size();
   }
--- a/src/main/java/loadbalancer/policy/RequestQueue.java
+++ b/src/main/java/loadbalancer/policy/RequestQueue.java
@@ -35,7 +35,7 @@
     return pending.requestClass.priorityWeight() * (pending.isOverQuota() ? overQuotaWeight : 1);
   }
 
-  /** Returns whether a request without attempts may wait any longer. */
+  /** Whether a request without attempts may wait any longer. */
   static boolean isWithinMaxQueueTime(PendingRequest pending, long nowNanos) {
     double maxQueueNanos =
         MAX_QUEUE_TIME_IN_OBJECTIVES * pending.requestClass.latencyObjectiveNanos();
@@ -52,25 +52,25 @@
     requests.remove(pending);
   }
 
-  /** Returns the first request in order, or null if the queue is empty. */
+  /** The first request in order, or null if the queue is empty. */
   PendingRequest first() {
     return requests.isEmpty() ? null : requests.first();
   }
 
   /**
-   * Returns the queued request that follows the given one in order, or null if there is none. The
-   * given request need not be queued any more.
+   * The queued request that follows the given one in order, or null if there is none. The given
+   * request need not be queued any more.
    */
   PendingRequest after(PendingRequest pending) {
     return requests.higher(pending);
   }
 
-  /** Returns the number of queued requests. */
+  /** The number of queued requests. */
   int size() {
     return requests.size();
   }
 
-  /** Returns a copy of the queue in order. */
+  /** A copy of the queue in order. */
   List<PendingRequest> snapshot() {
     return List.copyOf(requests);
   }
--- a/src/main/java/loadbalancer/policy/ResponseStatistics.java
+++ b/src/main/java/loadbalancer/policy/ResponseStatistics.java
@@ -41,32 +41,32 @@
     window.add(nowNanos, Metric.LOCAL_DELAY, load * localDelayNanos);
   }
 
-  /** Returns when the endpoint first served an attempt; 0 if it never did. */
+  /** When the endpoint first served an attempt; 0 if it never did. */
   long firstServedNanos() {
     return firstServedNanos;
   }
 
-  /** Returns the number of attempts served in the last window. */
+  /** The number of attempts served in the last window. */
   double served(long nowNanos) {
     return window.total(nowNanos, Metric.SAMPLES);
   }
 
-  /** Returns the sum of the served attempts' latency objectives in seconds, weighted by load. */
+  /** The sum of the served attempts' latency objectives in seconds, weighted by load. */
   double objectiveSeconds(long nowNanos) {
     return window.total(nowNanos, Metric.OBJECTIVE);
   }
 
-  /** Returns the sum of the served attempts' local delays, weighted by load. */
+  /** The sum of the served attempts' local delays, weighted by load. */
   double localDelayNanos(long nowNanos) {
     return window.total(nowNanos, Metric.LOCAL_DELAY);
   }
 
-  /** Returns the mean of load times latency over the served attempts; 0 without any. */
+  /** The mean of load times latency over the served attempts; 0 without any. */
   double meanLatencyNanos(long nowNanos) {
     return window.mean(nowNanos, 1);
   }
 
-  /** Returns the mean of load times local delay over the served attempts; 0 without any. */
+  /** The mean of load times local delay over the served attempts; 0 without any. */
   double meanLocalDelayNanos(long nowNanos) {
     return localDelayNanos(nowNanos) / Math.max(1, served(nowNanos));
   }
--- a/src/main/java/loadbalancer/policy/RetryBudget.java
+++ b/src/main/java/loadbalancer/policy/RetryBudget.java
@@ -29,7 +29,7 @@
     tokens = Math.min(maxTokens, tokens + TOKENS_PER_ADMITTED_REQUEST);
   }
 
-  /** Returns whether a retry may be forwarded. */
+  /** Whether a retry may be forwarded. */
   boolean hasToken() {
     return tokens >= 1;
   }
--- a/src/main/java/loadbalancer/policy/RetrySafety.java
+++ b/src/main/java/loadbalancer/policy/RetrySafety.java
@@ -24,12 +24,12 @@
     this.clockResolutionNanos = clockResolutionNanos;
   }
 
-  /** Returns whether the request may be forwarded at all, regardless of the endpoint. */
+  /** Whether the request may be forwarded at all, regardless of the endpoint. */
   boolean mayForward(PendingRequest pending) {
     return pending.requestClass.effect() != RequestEffect.NOT_IDEMPOTENT || !pending.mayHaveRun();
   }
 
-  /** Returns whether the request may be forwarded to the endpoint, given its earlier attempts. */
+  /** Whether the request may be forwarded to the endpoint, given its earlier attempts. */
   boolean mayForwardTo(PendingRequest pending, Endpoint endpoint, long nowNanos) {
     RequestClass requestClass = pending.requestClass;
     if (requestClass.effect() == RequestEffect.IDEMPOTENT) {
@@ -45,7 +45,7 @@
     return true;
   }
 
-  /** Returns whether the endpoint drops the request as a duplicate if the attempt has run. */
+  /** Whether the endpoint drops the request as a duplicate if the attempt has run. */
   private boolean dropsDuplicate(
       RequestClass requestClass, Attempt attempt, Endpoint endpoint, long nowNanos) {
     // The balancer may forward slightly after this clock reading, so the window is shortened by
@@ -66,7 +66,7 @@
     };
   }
 
-  /** Returns whether the request may be rejected, which tells the client that a retry is safe. */
+  /** Whether the request may be rejected, which tells the client that a retry is safe. */
   boolean mayReject(PendingRequest pending) {
     RequestClass requestClass = pending.requestClass;
     return requestClass.effect() == RequestEffect.IDEMPOTENT
--- a/src/main/java/loadbalancer/policy/SlidingWindow.java
+++ b/src/main/java/loadbalancer/policy/SlidingWindow.java
@@ -66,7 +66,7 @@
     currentSlot = nowNanos / slotNanos;
   }
 
-  /** Returns whether everything that was added is too old to be retained. */
+  /** Whether everything that was added is too old to be retained. */
   boolean isEmpty(long nowNanos) {
     return nowNanos / slotNanos - currentSlot >= keptSlots;
   }
@@ -77,15 +77,15 @@
     slots[metric.ordinal()][(int) (currentSlot % keptSlots)] += amount;
   }
 
-  /** Returns the total of a metric over the last window. */
+  /** The total of a metric over the last window. */
   double total(long nowNanos, Metric metric) {
     advance(nowNanos);
     return totals[metric.ordinal()];
   }
 
   /**
-   * Returns the total of a metric over the last window. If it holds fewer than {@code minSamples}
-   * samples, the retained slots before it are included, newest first, until there are as many.
+   * The total of a metric over the last window. If it holds fewer than {@code minSamples} samples,
+   * the retained slots before it are included, newest first, until there are as many.
    */
   double totalWithLookback(long nowNanos, Metric metric, int minSamples) {
     double sum = total(nowNanos, metric);
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Returns the mean latency of at least {@code minSamples} samples, as far as they are retained.
-   * It is 0 without samples, which counts as healthy.
+   * The mean latency of at least {@code minSamples} samples, as far as they are retained. It is 0
+   * without samples, which counts as healthy.
    */
   double mean(long nowNanos, int minSamples) {
     double samples = totalWithLookback(nowNanos, Metric.SAMPLES, minSamples);
--- a/src/main/java/loadbalancer/policy/TenantQuotas.java
+++ b/src/main/java/loadbalancer/policy/TenantQuotas.java
@@ -52,7 +52,7 @@
     return true;
   }
 
-  /** Returns whether the tenant has a quota and has sent requests before. */
+  /** Whether the tenant has a quota and has sent requests before. */
   boolean isLimited(String tenant) {
     return buckets.containsKey(tenant);
   }
--- a/src/main/java/loadbalancer/policy/TrafficStatistics.java
+++ b/src/main/java/loadbalancer/policy/TrafficStatistics.java
@@ -91,27 +91,27 @@
     count(requestWindows, Metric.LATENCY, latencyInObjectives, nowNanos);
   }
 
-  /** Returns the total of a metric over the last window of all traffic. */
+  /** The total of a metric over the last window of all traffic. */
   double fleetTotal(Metric metric, long nowNanos) {
     return fleet.total(nowNanos, metric);
   }
 
-  /** Returns the mean latency of all traffic, in latency objectives; 0 without samples. */
+  /** The mean latency of all traffic, in latency objectives; 0 without samples. */
   double fleetMean(long nowNanos) {
     return fleet.mean(nowNanos, MIN_SAMPLES);
   }
 
-  /** Returns whether the mean latency of all traffic is low enough to admit all requests. */
+  /** Whether the mean latency of all traffic is low enough to admit all requests. */
   boolean isFleetHealthy(long nowNanos) {
     return fleetMean(nowNanos) <= LatencyRateLimiter.HEALTHY_LATENCY_IN_OBJECTIVES;
   }
 
-  /** Returns the length of each sliding window. */
+  /** The length of each sliding window. */
   long windowNanos() {
     return windowNanos;
   }
 
-  /** Returns the number of windows of keys and of classes and tenants. */
+  /** The number of windows of keys and of classes and tenants. */
   int trackedWindows() {
     return windows.size();
   }
--- a/src/main/java/loadbalancer/policy/WatchBackoff.java
+++ b/src/main/java/loadbalancer/policy/WatchBackoff.java
@@ -70,7 +70,7 @@
     consecutiveFailures = 0;
   }
 
-  /** Returns when the scheduled restart is due, or {@link #NONE} if none is scheduled. */
+  /** When the scheduled restart is due, or {@link #NONE} if none is scheduled. */
   long nextWatchNanos() {
     return nextWatchNanos;
   }
--- a/src/main/java/loadbalancer/policy/event/AttemptStatus.java
+++ b/src/main/java/loadbalancer/policy/event/AttemptStatus.java
@@ -19,7 +19,7 @@
   /** Nothing was sent, since the attempt was no longer allowed when it was to be sent. */
   NOT_SENT;
 
-  /** Returns whether this status proves that the endpoint never ran the request. */
+  /** Whether this status proves that the endpoint never ran the request. */
   public boolean provesNotRun() {
     return this == REJECTED || this == CONNECT_FAILED || this == NOT_SENT;
   }
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListDecoder.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListDecoder.java
@@ -38,12 +38,12 @@
         JsonObjectReader.parse("list", listText.toString(StandardCharsets.UTF_8)));
   }
 
-  /** Returns whether a list has started arriving and is not complete yet. */
+  /** Whether a list has started arriving and is not complete yet. */
   boolean hasPartialList() {
     return actualReadableBytes() > 0;
   }
 
-  /** Returns whether the last content was only white space: a heartbeat, or a part of a list. */
+  /** Whether the last content was only white space: a heartbeat, or a part of a list. */
   boolean isLastContentBlank() {
     return lastContentBlank;
   }
--- a/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
+++ b/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
@@ -27,8 +27,8 @@
   }
 
   /**
-   * Returns the endpoint with this identifier, or null if the list has never contained it or it was
-   * removed and has no attempts in flight.
+   * The endpoint with this identifier, or null if the list has never contained it or it was removed
+   * and has no attempts in flight.
    */
   public UpstreamEndpoint find(long endpointId) {
     return endpoints.get(endpointId);
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseReader.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseReader.java
@@ -140,7 +140,7 @@
     return ResponseHeadValidator.statusOf(head);
   }
 
-  /** Returns the response with its body. Requires {@link #isComplete}. */
+  /** The response with its body. Requires {@link #isComplete}. */
   UpstreamResponse response() {
     return new UpstreamResponse(
         body.toByteArray(), head.headers().get(HttpHeaderNames.CONTENT_TYPE));
