--- a/src/main/java/loadbalancer/policy/action/CloseIdleConnections.java
+++ b/src/main/java/loadbalancer/policy/action/CloseIdleConnections.java
@@ -3,6 +3,6 @@
 /**
  * Closes this balancer's idle connections to an endpoint.
  *
- * @param endpointId the identifier of the endpoint
+ * @param endpointId the id of the endpoint
  */
 public record CloseIdleConnections(long endpointId) implements Action {}
--- a/src/main/java/loadbalancer/policy/event/AttemptCompleted.java
+++ b/src/main/java/loadbalancer/policy/event/AttemptCompleted.java
@@ -5,9 +5,9 @@
 /**
  * An attempt completed. Every forwarded attempt completes exactly once.
  *
- * @param requestId the identifier of the attempt's request
+ * @param requestId the id of the attempt's request
  * @param attempt the attempt's index, counted from 0 in forwarding order
- * @param endpointId the identifier of the endpoint that the attempt was forwarded to
+ * @param endpointId the id of the endpoint that the attempt was forwarded to
  * @param status the outcome of the attempt
  * @param latencyNanos the time that the endpoint took: less than the time since the attempt was
  *     forwarded, if the attempt waited in the balancer
--- a/src/main/java/loadbalancer/proxy/coordinator/ActionDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/ActionDispatcher.java
@@ -12,8 +12,8 @@
 import loadbalancer.proxy.telemetry.EventLog;
 
 /**
- * Passes each action of the policy to the class that carries out actions of its type. Confined to
- * the event loop thread.
+ * Passes each action of the policy to the class that carries out actions of its type. Not
+ * thread-safe: used on the event loop only.
  */
 final class ActionDispatcher implements Consumer<Action> {
 
--- a/src/main/java/loadbalancer/proxy/coordinator/AttemptCompletionHandler.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/AttemptCompletionHandler.java
@@ -9,7 +9,7 @@
 
 /**
  * Handles completed attempts: sends the response of a served attempt to the client, counts the
- * attempt and notifies the policy of its outcome. Confined to the event loop thread.
+ * attempt and notifies the policy of its outcome. Not thread-safe: used on the event loop only.
  */
 final class AttemptCompletionHandler {
 
--- a/src/main/java/loadbalancer/proxy/coordinator/AttemptForwarder.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/AttemptForwarder.java
@@ -7,7 +7,9 @@
 import loadbalancer.proxy.upstream.UpstreamAttempt;
 import loadbalancer.proxy.upstream.UpstreamEndpoint;
 
-/** Starts and cancels attempts as the policy decides. Confined to the event loop thread. */
+/**
+ * Starts and cancels attempts as the policy decides. Not thread-safe: used on the event loop only.
+ */
 final class AttemptForwarder {
 
   private final CoordinatorEnvironment environment;
--- a/src/main/java/loadbalancer/proxy/coordinator/AttemptStatistics.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/AttemptStatistics.java
@@ -11,8 +11,8 @@
 import loadbalancer.proxy.upstream.UpstreamEndpoint;
 
 /**
- * Measures the latency of completed attempts and adds them to the traffic counters. Confined to the
- * event loop thread.
+ * Measures the latency of completed attempts and adds them to the traffic counters. Not
+ * thread-safe: used on the event loop only.
  */
 final class AttemptStatistics {
 
--- a/src/main/java/loadbalancer/proxy/coordinator/EndpointListHandler.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/EndpointListHandler.java
@@ -9,7 +9,7 @@
 
 /**
  * Applies updates of the endpoint list to the endpoint table, notifies the policy of them, and
- * starts and stops the watch as the policy decides. Confined to the event loop thread.
+ * starts and stops the watch as the policy decides. Not thread-safe: used on the event loop only.
  */
 final class EndpointListHandler {
 
--- a/src/main/java/loadbalancer/proxy/coordinator/ForwardingRules.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/ForwardingRules.java
@@ -6,7 +6,7 @@
 /**
  * Checks whether an attempt may still be forwarded, immediately before its first byte is written.
  * If the attempt had to open a connection, the state may have changed since the policy decided to
- * forward it. Confined to the event loop thread.
+ * forward it. Not thread-safe: used on the event loop only.
  */
 final class ForwardingRules {
 
--- a/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/OpenRequest.java
@@ -11,7 +11,7 @@
 
 /**
  * A client's request, from its arrival until it is completed and none of its attempts is in flight.
- * Only {@link OpenRequestTable} completes it. Confined to the event loop thread.
+ * Only {@link OpenRequestTable} completes it. Not thread-safe: used on the event loop only.
  */
 final class OpenRequest {
 
@@ -36,7 +36,7 @@
     this.deadlineNanos = deadlineNanos;
   }
 
-  /** The request identifier, unique among the open requests. */
+  /** The request id, unique among the open requests. */
   String id() {
     return clientRequest.requestId();
   }
--- a/src/main/java/loadbalancer/proxy/coordinator/OpenRequestTable.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/OpenRequestTable.java
@@ -10,8 +10,8 @@
 import java.util.function.Consumer;
 
 /**
- * The open requests by identifier, each with a deadline timer. A request stays in the table until
- * it is completed and none of its attempts is in flight. Confined to the event loop thread.
+ * The open requests by id, each with a deadline timer. A request stays in the table until it is
+ * completed and none of its attempts is in flight. Not thread-safe: used on the event loop only.
  */
 final class OpenRequestTable {
 
@@ -41,7 +41,7 @@
 
   /**
    * Adds a request and starts its deadline timer. Returns false, without effect, if a request with
-   * the same identifier is open.
+   * the same id is open.
    *
    * @param request the request
    * @param timeLeftNanos the time from now to the request's deadline
@@ -74,7 +74,7 @@
     }
   }
 
-  /** The open request with this identifier; null if there is none. */
+  /** The open request with this id; null if there is none. */
   OpenRequest find(String requestId) {
     return requests.get(requestId);
   }
--- a/src/main/java/loadbalancer/proxy/coordinator/PolicyEventQueue.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/PolicyEventQueue.java
@@ -9,7 +9,7 @@
 /**
  * Passes events to the policy one at a time. Carrying out an action may raise another event
  * immediately; it is queued until the current event has been handled, so that the policy is never
- * called from within its own call. Confined to the event loop thread.
+ * called from within its own call. Not thread-safe: used on the event loop only.
  */
 final class PolicyEventQueue {
 
--- a/src/main/java/loadbalancer/proxy/coordinator/PolicyTimers.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/PolicyTimers.java
@@ -4,7 +4,7 @@
 import loadbalancer.policy.action.SetTimer;
 import loadbalancer.policy.event.TimerFired;
 
-/** Runs the timers that the policy sets. Confined to the event loop thread. */
+/** Runs the timers that the policy sets. Not thread-safe: used on the event loop only. */
 final class PolicyTimers {
 
   private final CoordinatorEnvironment environment;
--- a/src/main/java/loadbalancer/proxy/coordinator/RequestCompleter.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/RequestCompleter.java
@@ -8,8 +8,8 @@
 
 /**
  * Completes requests and sends each at most one final response. Counts rejections, failures and
- * client disconnects; {@link AttemptStatistics} counts served attempts. Confined to the event loop
- * thread.
+ * client disconnects; {@link AttemptStatistics} counts served attempts. Not thread-safe: used on
+ * the event loop only.
  */
 final class RequestCompleter {
 
--- a/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
@@ -77,7 +77,7 @@
 
   /**
    * Accepts a client's request, which is sent at most one final response. Returns false if a
-   * request with the same identifier is open, since the new request must not replace it.
+   * request with the same id is open, since the new request must not replace it.
    */
   public boolean accept(ClientRequest request, DownstreamClient client) {
     long nowNanos = clock.nowNanos();
--- a/src/main/java/loadbalancer/proxy/coordinator/ResponseDeadlines.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/ResponseDeadlines.java
@@ -3,8 +3,8 @@
 import loadbalancer.proxy.http.ClientRequest;
 
 /**
- * Calculates how long the policy has to decide on the final response to a request. Confined to the
- * event loop thread.
+ * Calculates how long the policy has to decide on the final response to a request. Not thread-safe:
+ * used on the event loop only.
  */
 final class ResponseDeadlines {
 
--- a/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
+++ b/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
@@ -27,8 +27,8 @@
   }
 
   /**
-   * The endpoint with this identifier, or null if the list has never contained it or it was removed
-   * and has no attempts in flight.
+   * The endpoint with this id, or null if the list has never contained it or it was removed and has
+   * no attempts in flight.
    */
   public UpstreamEndpoint find(long endpointId) {
     return endpoints.get(endpointId);
@@ -89,7 +89,7 @@
     deleteIfUnused(endpoint);
   }
 
-  /** Keeps the table bounded when upstreams are continually replaced under new identifiers. */
+  /** Keeps the table bounded when upstreams are continually replaced under new ids. */
   private void deleteIfUnused(UpstreamEndpoint endpoint) {
     if (endpoint.isRemoved() && !endpoint.hasAttemptsInFlight()) {
       endpoints.remove(endpoint.descriptor().endpointId(), endpoint);
--- a/src/test/java/loadbalancer/policy/ServiceRulesObserver.java
+++ b/src/test/java/loadbalancer/policy/ServiceRulesObserver.java
@@ -58,7 +58,7 @@
 
   /** A request that lacks its final response or has an attempt in flight. */
   static final class ObservedRequest {
-    /** The identifier of the request. */
+    /** The id of the request. */
     final String requestId;
 
     /** When the client stops waiting. */
--- a/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
@@ -32,7 +32,7 @@
     coordinator.start((event, actions) -> {});
     coordinator.accept("1", "order", 200);
     assertEquals("rejected", coordinator.nextResponse(), "no attempt was made");
-    // The finished request was removed, so that its identifier can be used again.
+    // The finished request was removed, so that its id can be used again.
     coordinator.accept("1", "order", 200);
   }
 
@@ -70,7 +70,7 @@
       assertTrue(lateAttempt.requestCompleted());
       assertEquals("rejected", coordinator.nextResponse());
       assertTrue(coordinator.responses.isEmpty());
-      // The finished request was removed, so that its identifier can be used again.
+      // The finished request was removed, so that its id can be used again.
       coordinator.accept("1", "look", 15_000);
     }
   }
--- a/src/test/java/loadbalancer/proxy/coordinator/TestCoordinator.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/TestCoordinator.java
@@ -39,7 +39,7 @@
  */
 final class TestCoordinator implements AutoCloseable {
 
-  /** The endpoint identifier of the first upstream that the coordinator is started with. */
+  /** The endpoint id of the first upstream that the coordinator is started with. */
   static final long ENDPOINT_ID = EndpointList.endpointId("s-0");
 
   /** The policy of a test. */
