--- a/src/main/java/loadbalancer/config/ProxyConfiguration.java
+++ b/src/main/java/loadbalancer/config/ProxyConfiguration.java
@@ -15,8 +15,8 @@
  * @param listen the address that clients connect to
  * @param discovery the address of the discovery service
  * @param seed the seed of the policy's random number generator
- * @param sockets the maximum number of file descriptors that the process may hold
- * @param known the last endpoint list that the proxy had; it may be stale
+ * @param maxFileDescriptors the maximum number of file descriptors that the process may hold
+ * @param cachedEndpointList the last known endpoint list; it may be stale
  * @param settings the settings of the policy
  */
 public record ProxyConfiguration(
@@ -24,14 +24,14 @@
     InetSocketAddress listen,
     InetSocketAddress discovery,
     long seed,
-    int sockets,
-    EndpointList known,
+    int maxFileDescriptors,
+    EndpointList cachedEndpointList,
     PolicySettings settings) {
 
   /** The environment variable that holds the path of the configuration file. */
   public static final String FILE_VARIABLE = "PROXY_CONFIG";
 
-  private static final int DEFAULT_SOCKETS = 1024;
+  private static final int DEFAULT_MAX_FILE_DESCRIPTORS = 1024;
   private static final int SEED_RADIX = 16;
 
   /**
@@ -57,8 +57,9 @@
         address("listen", overridable(environment, "PROXY_LISTEN", fields, "listen")),
         address("discovery", overridable(environment, "PROXY_DISCOVERY", fields, "discovery")),
         seed(fields.text("seed")),
-        sockets(fields.nested("limits").integer("sockets", DEFAULT_SOCKETS)),
-        knownEndpoints(fields.nested("known")),
+        maxFileDescriptors(
+            fields.nested("limits").integer("sockets", DEFAULT_MAX_FILE_DESCRIPTORS)),
+        cachedEndpointList(fields.nested("known")),
         PolicySettingsReader.read(fields.nested("settings")));
   }
 
@@ -92,7 +93,7 @@
     }
   }
 
-  private static int sockets(long limit) {
+  private static int maxFileDescriptors(long limit) {
     if (limit <= 0 || limit > Integer.MAX_VALUE) {
       throw new ConfigurationException(
           "limits.sockets", "a number from 1 to " + Integer.MAX_VALUE, Long.toString(limit));
@@ -101,7 +102,7 @@
   }
 
   /** Reads the list, or returns an empty one of version 0 if the configuration has none. */
-  private static EndpointList knownEndpoints(JsonObjectReader known) {
+  private static EndpointList cachedEndpointList(JsonObjectReader known) {
     return known.has("endpoints")
         ? EndpointList.fromJson(known)
         : new EndpointList(0, true, List.of());
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
@@ -68,7 +68,7 @@
             new ConnectionLimits(
                 settings.limits().connectTimeoutNanos(),
                 settings.limits().connectionIdleTimeoutNanos(),
-                (int) (configuration.sockets() * UPSTREAM_SOCKETS_FRACTION)));
+                (int) (configuration.maxFileDescriptors() * UPSTREAM_SOCKETS_FRACTION)));
     coordinator =
         new RequestCoordinator(
             settings,
@@ -80,12 +80,12 @@
             loop,
             settings,
             coordinator,
-            (int) (configuration.sockets() * DOWNSTREAM_SOCKETS_FRACTION));
+            (int) (configuration.maxFileDescriptors() * DOWNSTREAM_SOCKETS_FRACTION));
     downstream.setWarmUpPath(warmUpPath);
     discovery =
         new DiscoveryClient(
             loop,
-            WatchTarget.of(configuration.discovery(), configuration.known().version()),
+            WatchTarget.of(configuration.discovery(), configuration.cachedEndpointList().version()),
             WatchTimeouts.PROTOCOL,
             new DiscoveryEventForwarder());
   }
@@ -114,7 +114,7 @@
     InetSocketAddress address = downstream.listen(configuration.listen());
     loop.execute(
         () -> {
-          coordinator.start(configuration.known(), discovery::watch);
+          coordinator.start(configuration.cachedEndpointList(), discovery::watch);
           // Whatever list mode the settings name: on sockets a list comes by a watch only.
           discovery.watch(true);
           new WarmUp(
