--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -33,7 +33,7 @@
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestDownstreamServer server = new TestDownstreamServer(loop, event -> {}, upstream);
       try (TestClient client = new TestClient(server.address)) {
-        server.startDraining();
+        server.startGracefulShutdown();
         TestClient.Response response = client.exchange(REQUEST);
         assertEquals("fine", response.body());
         assertFalse(response.head().contains("connection: close"), response.head());
--- a/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
+++ b/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
@@ -117,7 +117,7 @@
   }
 
   /** Starts the graceful shutdown. */
-  void startDraining() {
+  void startGracefulShutdown() {
     onLoop(
         () -> {
           server.beginGracefulShutdown();
