--- a/src/main/java/loadbalancer/policy/RequestLifecycle.java
+++ b/src/main/java/loadbalancer/policy/RequestLifecycle.java
@@ -78,7 +78,7 @@
     TrafficWindows windows = components.traffic.windowsOf(request, isOverQuota, nowNanos);
     double load = components.loadEstimator.loadOf(request.workHintNanos());
     PendingRequest pending = new PendingRequest(request, requestClass, nowNanos, load, windows);
-    if (pendingRequests.size() >= settings.limits().maxOpenRequests()
+    if (pendingRequests.size() >= settings.limits().maxPendingRequests()
         || !components.admission.admit(pending, nowNanos, actions)) {
       reject(request, actions);
       return;
--- a/src/main/java/loadbalancer/policy/settings/Limits.java
+++ b/src/main/java/loadbalancer/policy/settings/Limits.java
@@ -10,7 +10,7 @@
  * @param retryAfter whether rejections tell the client how long to wait
  * @param maxRetryAfterNanos the longest such wait that clients respect
  * @param maxAttempts the maximum number of attempts per request
- * @param maxOpenRequests the maximum number of requests pending in one balancer
+ * @param maxPendingRequests the maximum number of requests pending in one balancer
  * @param streamsPerConnection the maximum number of concurrent attempts on one connection
  * @param connectTimeoutNanos the time-out for establishing a connection
  * @param connectionIdleTimeoutNanos the idle time after which endpoints close a connection
@@ -23,7 +23,7 @@
     boolean retryAfter,
     long maxRetryAfterNanos,
     int maxAttempts,
-    int maxOpenRequests,
+    int maxPendingRequests,
     int streamsPerConnection,
     long connectTimeoutNanos,
     long connectionIdleTimeoutNanos) {}
--- a/src/main/java/loadbalancer/policy/settings/PolicySettings.java
+++ b/src/main/java/loadbalancer/policy/settings/PolicySettings.java
@@ -89,8 +89,8 @@
         limits.maxAttempts() > 0,
         "limits.max-attempts: must be above 0, got " + limits.maxAttempts());
     check(
-        limits.maxOpenRequests() > 0,
-        "limits.most-held: must be above 0, got " + limits.maxOpenRequests());
+        limits.maxPendingRequests() > 0,
+        "limits.most-held: must be above 0, got " + limits.maxPendingRequests());
     check(
         limits.maxRetryAfterNanos() >= 0,
         "limits.max-retry-after-ns: must not be negative, got " + limits.maxRetryAfterNanos());
--- a/src/main/java/loadbalancer/proxy/downstream/ConnectionListener.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ConnectionListener.java
@@ -8,7 +8,7 @@
 import io.netty.channel.FixedRecvByteBufAllocator;
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
-import loadbalancer.proxy.transport.PeekableServerSocketChannel;
+import loadbalancer.proxy.transport.DirectReadServerSocketChannel;
 
 /**
  * The listening socket: accepts client connections, and can pause accepting. All methods but {@link
@@ -54,7 +54,7 @@
     channel =
         new ServerBootstrap()
             .group(loop, loop)
-            .channelFactory(PeekableServerSocketChannel::new)
+            .channelFactory(DirectReadServerSocketChannel::new)
             .option(ChannelOption.SO_BACKLOG, BACKLOG_CONNECTIONS)
             .option(ChannelOption.SO_REUSEADDR, true)
             .option(
--- a/src/main/java/loadbalancer/proxy/downstream/DiscardedInput.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DiscardedInput.java
@@ -1,7 +1,7 @@
 package loadbalancer.proxy.downstream;
 
 import io.netty.channel.Channel;
-import loadbalancer.proxy.transport.PeekableSocketChannel;
+import loadbalancer.proxy.transport.DirectReadSocketChannel;
 
 /**
  * Counts the bytes of a connection that were discarded. Input behind a request in flight is read
@@ -30,7 +30,7 @@
    */
   int skipUnread(Channel channel) {
     int bytesUntilFlood = (int) (MAX_DISCARDED_BYTES + 1 - discardedBytes);
-    if (bytesUntilFlood > 0 && channel instanceof PeekableSocketChannel socket) {
+    if (bytesUntilFlood > 0 && channel instanceof DirectReadSocketChannel socket) {
       return socket.skip(bytesUntilFlood);
     }
     return 0;
--- a/src/main/java/loadbalancer/proxy/transport/PeekableServerSocketChannel.java
+++ b/src/main/java/loadbalancer/proxy/transport/DirectReadServerSocketChannel.java
@@ -5,8 +5,8 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** A server channel that accepts connections as {@link PeekableSocketChannel}s. */
-public final class PeekableServerSocketChannel extends NioServerSocketChannel {
+/** A server channel that accepts connections as {@link DirectReadSocketChannel}s. */
+public final class DirectReadServerSocketChannel extends NioServerSocketChannel {
 
   @Override
   protected int doReadMessages(List<Object> accepted) throws IOException {
@@ -14,7 +14,7 @@
     if (socket == null) {
       return 0;
     }
-    accepted.add(new PeekableSocketChannel(this, socket));
+    accepted.add(new DirectReadSocketChannel(this, socket));
     return 1;
   }
 }
--- a/src/main/java/loadbalancer/proxy/transport/PeekableSocketChannel.java
+++ b/src/main/java/loadbalancer/proxy/transport/DirectReadSocketChannel.java
@@ -11,7 +11,7 @@
  * read from the socket directly and discard what they read. They must run on the channel's event
  * loop.
  */
-public final class PeekableSocketChannel extends NioSocketChannel {
+public final class DirectReadSocketChannel extends NioSocketChannel {
 
   /** Returned instead of a number of bytes if the peer has closed or the connection has failed. */
   private static final int END_OF_STREAM = -1;
@@ -19,7 +19,7 @@
   private static final int SKIP_BUFFER_BYTES = 4096;
 
   /** Creates a channel that is not connected yet. */
-  public PeekableSocketChannel() {}
+  public DirectReadSocketChannel() {}
 
   /**
    * Creates the channel of an accepted connection.
@@ -27,7 +27,7 @@
    * @param listener the server channel that accepted the connection
    * @param socket the accepted socket
    */
-  public PeekableSocketChannel(Channel listener, SocketChannel socket) {
+  public DirectReadSocketChannel(Channel listener, SocketChannel socket) {
     super(listener, socket);
   }
 
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -12,7 +12,7 @@
 import loadbalancer.policy.event.AttemptStatus;
 import loadbalancer.proxy.http.UpstreamResponse;
 import loadbalancer.proxy.telemetry.EventLog;
-import loadbalancer.proxy.transport.PeekableSocketChannel;
+import loadbalancer.proxy.transport.DirectReadSocketChannel;
 import loadbalancer.proxy.transport.RawBytesFilter;
 
 /**
@@ -30,7 +30,7 @@
   private static final long MAX_RESPONSE_READ_MILLIS = 300;
 
   private final EndpointConnectionPool pool;
-  private final PeekableSocketChannel channel;
+  private final DirectReadSocketChannel channel;
   private final ResponseDecoder decoder;
   private final ResponseReader reader = new ResponseReader();
 
@@ -53,7 +53,7 @@
    * @param decoder the decoder in the same pipeline
    */
   UpstreamConnection(
-      EndpointConnectionPool pool, PeekableSocketChannel channel, ResponseDecoder decoder) {
+      EndpointConnectionPool pool, DirectReadSocketChannel channel, ResponseDecoder decoder) {
     this.pool = pool;
     this.channel = channel;
     this.decoder = decoder;
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPools.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPools.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.proxy.transport.PeekableSocketChannel;
+import loadbalancer.proxy.transport.DirectReadSocketChannel;
 
 /**
  * The connection pools of all upstreams. Opens connections within one common limit and closes those
@@ -49,7 +49,7 @@
    * @param limits the limits on connections to all upstreams
    */
   public UpstreamConnectionPools(EventLoop eventLoop, ConnectionLimits limits) {
-    this(eventLoop, limits, PeekableSocketChannel::new);
+    this(eventLoop, limits, DirectReadSocketChannel::new);
   }
 
   /**
@@ -57,7 +57,7 @@
    *
    * @param eventLoop the event loop of all connections
    * @param limits the limits on connections to all upstreams
-   * @param channelFactory creates channels of type {@link PeekableSocketChannel}
+   * @param channelFactory creates channels of type {@link DirectReadSocketChannel}
    */
   public UpstreamConnectionPools(
       EventLoop eventLoop, ConnectionLimits limits, ChannelFactory<Channel> channelFactory) {
@@ -154,7 +154,7 @@
     protected void initChannel(Channel channel) {
       ResponseDecoder decoder = new ResponseDecoder();
       UpstreamConnection connection =
-          new UpstreamConnection(pool, (PeekableSocketChannel) channel, decoder);
+          new UpstreamConnection(pool, (DirectReadSocketChannel) channel, decoder);
       decoder.setFilter(connection);
       channel.pipeline().addLast(new HttpRequestEncoder(), decoder, connection);
     }
--- a/src/test/java/loadbalancer/policy/EmbeddingExample.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingExample.java
@@ -66,7 +66,7 @@
             /* retryAfter= */ true,
             /* maxRetryAfterNanos= */ millis(1000),
             /* maxAttempts= */ 3,
-            /* maxOpenRequests= */ 10_000,
+            /* maxPendingRequests= */ 10_000,
             /* streamsPerConnection= */ 1,
             /* connectTimeoutNanos= */ millis(250),
             /* connectionIdleTimeoutNanos= */ millis(15_000));
--- a/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -150,7 +150,7 @@
         /* retryAfter= */ true,
         /* maxRetryAfterNanos= */ millis(1000),
         /* maxAttempts= */ 1 + random.nextInt(6),
-        /* maxOpenRequests= */ 40 + random.nextInt(1000),
+        /* maxPendingRequests= */ 40 + random.nextInt(1000),
         /* streamsPerConnection= */ 1,
         /* connectTimeoutNanos= */ millis(100),
         /* connectionIdleTimeoutNanos= */ millis(5000));
--- a/src/test/java/loadbalancer/policy/TestSettings.java
+++ b/src/test/java/loadbalancer/policy/TestSettings.java
@@ -130,7 +130,7 @@
             /* retryAfter= */ true,
             /* maxRetryAfterNanos= */ millis(1000),
             /* maxAttempts= */ 4,
-            /* maxOpenRequests= */ 10_000,
+            /* maxPendingRequests= */ 10_000,
             /* streamsPerConnection= */ 1,
             /* connectTimeoutNanos= */ millis(200),
             /* connectionIdleTimeoutNanos= */ millis(5000)),
--- a/src/test/java/loadbalancer/proxy/transport/PeekableSocketChannelTest.java
+++ b/src/test/java/loadbalancer/proxy/transport/DirectReadSocketChannelTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests discarding unread input of a socket. */
-class PeekableSocketChannelTest {
+class DirectReadSocketChannelTest {
 
   /** A test body that gets both ends of a connection. */
   interface ConnectionTestBody {
-    void run(PeekableSocketChannel socket, Socket peer) throws Exception;
+    void run(DirectReadSocketChannel socket, Socket peer) throws Exception;
   }
 
   private static void withConnection(ConnectionTestBody test) throws Exception {
@@ -24,7 +24,7 @@
       try (Socket peer = new Socket(address.getAddress(), address.getPort());
           var accepted = listener.accept()) {
         peer.setTcpNoDelay(true);
-        test.run(new PeekableSocketChannel(null, accepted), peer);
+        test.run(new DirectReadSocketChannel(null, accepted), peer);
       }
     }
   }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolsTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolsTest.java
@@ -21,8 +21,8 @@
 import loadbalancer.proxy.TestProxy;
 import loadbalancer.proxy.http.ClientRequest;
 import loadbalancer.proxy.http.RequestMessage;
+import loadbalancer.proxy.transport.DirectReadSocketChannel;
 import loadbalancer.proxy.transport.EpochClock;
-import loadbalancer.proxy.transport.PeekableSocketChannel;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
@@ -222,7 +222,7 @@
                                 if (failuresLeft.getAndDecrement() > 0) {
                                   throw new ChannelException("too many open files");
                                 }
-                                return new PeekableSocketChannel();
+                                return new DirectReadSocketChannel();
                               }))
                   .get(),
               upstream.address());
