--- a/src/main/java/loadbalancer/policy/InFlightTime.java
+++ b/src/main/java/loadbalancer/policy/InFlightTime.java
@@ -47,7 +47,7 @@
   }
 
   /**
-   * Adds the expected latency of an attempt that starts now.
+   * Adds the expected latency of an attempt that starts now: the average latency times its load.
    *
    * @param load the request's load, in average requests
    * @return the expected latency in nanoseconds, to be kept in {@link Attempt#expectedLatencyNanos}
--- a/src/main/java/loadbalancer/proxy/transport/DirectReadSocketChannel.java
+++ b/src/main/java/loadbalancer/proxy/transport/DirectReadSocketChannel.java
@@ -7,9 +7,9 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A socket channel that can be checked for input that the event loop has not read yet. The checks
- * read from the socket directly and discard what they read. They must run on the channel's event
- * loop.
+ * A socket channel whose input can also be read directly from the socket, before the event loop
+ * reads it. Direct reads discard what they read: they show whether there is unread input or the
+ * peer has closed the connection. They must run on the channel's event loop.
  */
 public final class DirectReadSocketChannel extends NioSocketChannel {
 
@@ -71,7 +71,7 @@
     return skipped;
   }
 
-  /** Uses a buffer of one byte, so that a check of a socket without unread input stays cheap. */
+  /** Reads into a buffer of one byte, so that a check without unread input stays cheap. */
   private int skipOneByte() {
     try {
       return isActive() ? javaChannel().read(ByteBuffer.allocate(1)) : END_OF_STREAM;
--- a/src/test/java/loadbalancer/proxy/transport/DirectReadSocketChannelTest.java
+++ b/src/test/java/loadbalancer/proxy/transport/DirectReadSocketChannelTest.java
@@ -9,7 +9,7 @@
 import java.nio.channels.ServerSocketChannel;
 import org.junit.jupiter.api.Test;
 
-/** Tests discarding unread input of a socket. */
+/** Tests that direct reads discard unread input of a socket. */
 class DirectReadSocketChannelTest {
 
   /** A test body that gets both ends of a connection. */
