--- a/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
@@ -24,7 +24,7 @@
  * reading of their event. It must report exactly one {@link AttemptCompleted} for every {@link
  * ForwardAttempt}, one {@link TimerFired} for every {@link SetTimer} and one {@link
  * HealthCheckCompleted} for every {@link CheckHealth}. An exception thrown by {@link #handle} is a
- * bug in the policy; the instance must not be used any further.
+ * defect of the policy; the instance must not be used any further.
  */
 public interface LoadBalancingPolicy {
 
--- a/src/main/java/loadbalancer/policy/event/AttemptStatus.java
+++ b/src/main/java/loadbalancer/policy/event/AttemptStatus.java
@@ -16,7 +16,10 @@
   RESET,
   /** The balancer cancelled the attempt; the request may have run. */
   CANCELLED,
-  /** Nothing was sent, since the attempt was no longer allowed when it was to be sent. */
+  /**
+   * Nothing was sent, since the attempt was no longer allowed: for example, the request was
+   * completed or had no attempts left.
+   */
   NOT_SENT;
 
   /** Whether this status proves that the endpoint never ran the request. */
--- a/src/main/java/loadbalancer/simulator/ActionEncoder.java
+++ b/src/main/java/loadbalancer/simulator/ActionEncoder.java
@@ -29,7 +29,7 @@
    * Writes one action as a message.
    *
    * @throws IOException if the generator's output fails
-   * @throws IllegalStateException if no message is defined for the action, which is a bug
+   * @throws IllegalStateException if no message is defined for the action, which is a defect
    */
   static void write(JsonGenerator out, Action action) throws IOException {
     if (action instanceof ForwardAttempt forward) {
--- a/src/main/java/loadbalancer/simulator/SimulatorSession.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorSession.java
@@ -137,7 +137,7 @@
         PolicySettingsReader.read(fields.object("boot-info")), fields.integer("seed"));
   }
 
-  /** Writes the policy's actions, and a fault message if the policy throws, which is a bug. */
+  /** Writes the policy's actions, and a fault message if the policy throws, which is a defect. */
   private static void handleEvent(
       LoadBalancingPolicy policy, long nowNanos, Event event, JsonGenerator out)
       throws IOException {
