--- a/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
@@ -16,25 +16,27 @@
 import sun.misc.SignalHandler;
 
 /**
- * Reads the configuration file again at each SIGHUP, which would otherwise end the JVM as SIGTERM
- * does. State and work belong to one thread of its own: the event loop must not wait for a file,
- * and with several threads an older reading could overtake a newer one.
+ * Reloads the configuration file on SIGHUP. Without a handler, SIGHUP would terminate the JVM.
+ *
+ * <p>All reads run on one dedicated thread, which also owns the state. File I/O would block the
+ * event loop, and with several threads the result of an older read could replace that of a newer
+ * one.
  */
 final class ConfigurationReloader {
 
   /**
-   * Period of the polls where SIGHUP is ignored: short against the 1.5 s for which the old address
-   * of the discovery service stays open after a reload.
+   * Period at which the file is polled for changes if SIGHUP is ignored. It is short compared with
+   * the 1.5 s for which the old address of the discovery service stays open after a reload.
    */
   private static final long POLL_PERIOD_MILLIS = 500;
 
   private final Map<String, String> environment;
   private final Consumer<ProxyConfiguration> onReload;
 
-  /** The file's version at the last poll; null before the first. */
-  private FileVersion polledVersion;
+  /** The version seen by the last poll that found the file; null before that. */
+  private FileVersion lastVersion;
 
-  /** What changes when a file is replaced or written. */
+  /** The file attributes that change when the file is replaced or written. */
   private record FileVersion(Object fileKey, FileTime modified, long sizeBytes) {}
 
   private ConfigurationReloader(
@@ -44,9 +46,12 @@
   }
 
   /**
-   * Handles SIGHUP from now on. An unusable configuration is logged and changes nothing.
+   * Installs the SIGHUP handler, or starts to poll the file if SIGHUP is ignored. If the new
+   * configuration cannot be read or is invalid, a warning is logged and the current one stays in
+   * effect.
    *
-   * @param onReload gets each new configuration, on the thread of the reloader
+   * @param environment the PROXY_ environment variables, of which PROXY_CONFIG names the file
+   * @param onReload receives each new configuration, on the reload thread
    */
   static void install(Map<String, String> environment, Consumer<ProxyConfiguration> onReload) {
     ConfigurationReloader reloader = new ConfigurationReloader(environment, onReload);
@@ -55,7 +60,7 @@
     SignalHandler previous =
         Signal.handle(new Signal("HUP"), signal -> executor.execute(reloader::reload));
     if (previous.equals(SignalHandler.SIG_IGN)) {
-      // The JVM leaves a signal alone that was ignored at its start, as nohup does.
+      // The JVM does not handle a signal that was ignored when it started, for example by nohup.
       EventLog.warn(
           "reload: polling started reason=SIGHUP ignored at start period_ms=" + POLL_PERIOD_MILLIS);
       reloader.detectChange();
@@ -77,20 +82,20 @@
   }
 
   /**
-   * Reads the file's version and remembers it; whether it differs from the one before. A missing
-   * file is not a change: it is being replaced.
+   * Updates {@link #lastVersion} and returns whether it changed. A missing file does not count as a
+   * change, since it is being replaced.
    */
   private boolean detectChange() {
-    FileVersion previous = polledVersion;
+    FileVersion previous = lastVersion;
     try {
       BasicFileAttributes attributes =
           Files.readAttributes(
               Path.of(environment.get(ProxyConfiguration.FILE_VARIABLE)),
               BasicFileAttributes.class);
-      polledVersion =
+      lastVersion =
           new FileVersion(attributes.fileKey(), attributes.lastModifiedTime(), attributes.size());
-      return !polledVersion.equals(previous);
-    } catch (IOException missing) {
+      return !lastVersion.equals(previous);
+    } catch (IOException fileMissing) {
       return false;
     }
   }
--- a/src/main/java/loadbalancer/proxy/lifecycle/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/GracefulShutdown.java
@@ -8,31 +8,33 @@
 import loadbalancer.proxy.downstream.DownstreamServer;
 
 /**
- * Ends a proxy in steps: it reports that it is not ready, accepts no more connections, closes idle
- * ones, and ends those whose request is not complete. Every complete request is answered.
+ * Shuts a proxy down in steps: it fails readiness checks, stops listening, closes idle connections,
+ * and finally closes connections whose request is incomplete. Every completely received request
+ * gets a response.
  *
- * <p>After SIGTERM the platform still sends new connections for 0.4 s, and sends SIGKILL after the
- * longest deadline (3 s at most) plus 0.7 s. Clients go on to use their connections while these are
- * open, and another proxy may be down at the same time, so they are served as before until shortly
- * before the end.
+ * <p>The platform routes new connections to the proxy for up to 0.4 s after SIGTERM. It sends
+ * SIGKILL once the longest request deadline, capped at 3 s, plus 0.7 s has passed since SIGTERM.
+ * Clients keep using their open connections, and another proxy may be down at the same time, so
+ * these connections are served as before until shortly before the end.
  *
- * <p>Belongs to the event loop.
+ * <p>Must be used on the event loop only.
  */
 final class GracefulShutdown {
 
-  /** How long new connections are accepted. */
-  private static final long ACCEPT_MILLIS = 500;
+  /** How long the proxy keeps listening after the shutdown has started. */
+  private static final long LISTENING_MILLIS = 500;
 
-  /** The longest request deadline that the platform waits for. */
+  /** The longest request deadline that the platform takes into account. */
   private static final long MAX_DEADLINE_MILLIS = 3_000;
 
-  /** From the longest request deadline to the end of the shutdown. */
-  private static final long AFTER_DEADLINE_MILLIS = 500;
+  /** Time from the longest request deadline to the end of the shutdown. */
+  private static final long DEADLINE_MARGIN_MILLIS = 500;
 
-  /** From the closing of idle connections to the end of the shutdown. */
-  private static final long IDLE_CLOSING_MILLIS = 1_000;
+  /** How long before the end of the shutdown idle connections are closed. */
+  private static final long IDLE_CLOSE_LEAD_MILLIS = 1_000;
 
-  private static final long POLL_MILLIS = 10;
+  /** Period of the checks for idle connections once these are being closed. */
+  private static final long POLL_PERIOD_MILLIS = 10;
 
   private final EventLoop loop;
   private final PolicySettings settings;
@@ -40,7 +42,12 @@
   private final RequestCoordinator coordinator;
   private final Runnable onComplete;
 
-  /** A shutdown that has not started; {@code onComplete} runs once no connection is open. */
+  /**
+   * Creates a shutdown without starting it.
+   *
+   * @param settings provide the deadlines of the request classes
+   * @param onComplete runs on the event loop once no client connection is open
+   */
   GracefulShutdown(
       EventLoop loop,
       PolicySettings settings,
@@ -54,17 +61,18 @@
     this.onComplete = onComplete;
   }
 
-  /** Starts the shutdown; to be called once. */
+  /** Starts the shutdown. Must be called only once. */
   void start() {
     downstream.beginGracefulShutdown();
-    long endMillis = AFTER_DEADLINE_MILLIS + Math.min(MAX_DEADLINE_MILLIS, longestDeadlineMillis());
-    coordinator.capDeadlines(TimeUnit.MILLISECONDS.toNanos(endMillis));
-    loop.schedule(downstream::stopListening, ACCEPT_MILLIS, TimeUnit.MILLISECONDS);
+    long durationMillis =
+        DEADLINE_MARGIN_MILLIS + Math.min(MAX_DEADLINE_MILLIS, longestDeadlineMillis());
+    coordinator.capDeadlines(TimeUnit.MILLISECONDS.toNanos(durationMillis));
+    loop.schedule(downstream::stopListening, LISTENING_MILLIS, TimeUnit.MILLISECONDS);
     loop.schedule(
         this::closeIdleConnections,
-        Math.max(ACCEPT_MILLIS, endMillis - IDLE_CLOSING_MILLIS),
+        Math.max(LISTENING_MILLIS, durationMillis - IDLE_CLOSE_LEAD_MILLIS),
         TimeUnit.MILLISECONDS);
-    loop.schedule(downstream::endIncompleteRequests, endMillis, TimeUnit.MILLISECONDS);
+    loop.schedule(downstream::endIncompleteRequests, durationMillis, TimeUnit.MILLISECONDS);
   }
 
   private long longestDeadlineMillis() {
@@ -80,7 +88,7 @@
     if (downstream.openConnections() == 0) {
       onComplete.run();
     } else {
-      loop.schedule(this::closeIdleConnections, POLL_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(this::closeIdleConnections, POLL_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyProcess.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyProcess.java
@@ -6,8 +6,8 @@
 import loadbalancer.config.ProxyConfiguration;
 
 /**
- * The process around a proxy server: its environment, signals and exit status. Its methods are
- * called on the main thread.
+ * Runs a proxy server as the process: maps environment variables, signals and exit statuses. The
+ * methods must be called on the main thread.
  */
 public final class ProxyProcess {
 
@@ -18,12 +18,13 @@
   private ProxyProcess() {}
 
   /**
-   * Runs a proxy until its graceful shutdown, which SIGTERM starts, is complete.
+   * Runs a proxy until SIGTERM starts a graceful shutdown and the shutdown is complete. A policy
+   * defect ends the process immediately with exit status 1.
    *
-   * @param environment the PROXY_ variables
-   * @param errorOutput gets one line if the configuration or an address in it is not usable
-   * @return the exit status: 0 after a graceful shutdown, 2 if the proxy could not start; after a
-   *     defect of the policy the process ends at once with status 1
+   * @param environment the PROXY_ environment variables
+   * @param errorOutput receives one line if the proxy cannot start, for example because of an
+   *     invalid configuration or an address that cannot be bound
+   * @return the exit status: 0 after a graceful shutdown, 2 if the proxy could not start
    * @throws InterruptedException if interrupted while the proxy starts
    */
   public static int serve(Map<String, String> environment, PrintStream errorOutput)
@@ -47,11 +48,13 @@
   }
 
   /**
-   * Starts a proxy as {@link #serve} does and returns once it is ready; the class-data archive is
-   * made from such a run.
+   * Starts a proxy and returns once it is ready. The class-data-sharing archive is created from
+   * such a run. Unlike {@link #serve}, this installs no signal handlers, and an invalid
+   * configuration or a failed bind is thrown.
    *
-   * @return the exit status 0
-   * @throws IOException if the configuration file cannot be read
+   * @param environment the PROXY_ environment variables
+   * @return the exit status, always 0
+   * @throws IOException if the configuration file cannot be read or the listen address not bound
    * @throws InterruptedException if interrupted while the proxy starts
    */
   public static int rehearse(Map<String, String> environment)
@@ -68,8 +71,8 @@
   }
 
   /**
-   * By default the JVM ends at SIGTERM at once, hence a shutdown hook; it halts the JVM, which
-   * would otherwise exit with status 143.
+   * Registers a shutdown hook, since the JVM by default exits immediately on SIGTERM. The hook
+   * halts the JVM, which would otherwise exit with status 143.
    */
   private static void shutDownOnSigterm(ProxyServer server) {
     Runtime.getRuntime()
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
@@ -25,25 +25,29 @@
 import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
 /**
- * One proxy: the load-balancing policy on sockets. Puts the parts together and starts, reloads and
- * ends them. All state of the parts belongs to one event-loop thread; the methods here may be
- * called on any other thread.
+ * A proxy that applies the load-balancing policy to HTTP traffic. Creates and connects its
+ * components and controls start, reload and shutdown. The components run on a single event-loop
+ * thread; the methods of this class may be called on any other thread.
  */
 public final class ProxyServer {
 
   /**
-   * The fractions of the file descriptors for client and for upstream connections; the rest is for
-   * discovery and the process itself.
+   * Fraction of the process's file descriptors available to client connections. What client and
+   * upstream connections leave is for discovery and the process itself.
    */
   private static final double DOWNSTREAM_SOCKETS_FRACTION = 0.45;
 
+  /** Fraction of the process's file descriptors available to upstream connections. */
   private static final double UPSTREAM_SOCKETS_FRACTION = 0.4;
 
-  /** Short enough to show a disturbance of seconds, at under 20,000 lines a day. */
-  private static final long REPORT_PERIOD_MILLIS = 5_000;
+  /**
+   * Period of the traffic log. It is short enough to show disturbances that last seconds, and
+   * produces fewer than 20,000 lines a day.
+   */
+  private static final long TRAFFIC_LOG_PERIOD_MILLIS = 5_000;
 
   private final EventLoop loop = new MillisecondEventLoop(NioIoHandler.newFactory());
-  private final EventLoopLag lag = new EventLoopLag(loop);
+  private final EventLoopLag loopLag = new EventLoopLag(loop);
   private final ProxyConfiguration configuration;
   private final Runnable endProcess;
   private final RequestCoordinator coordinator;
@@ -54,9 +58,9 @@
   private final CountDownLatch shutdownComplete = new CountDownLatch(1);
 
   /**
-   * A proxy that has not started.
+   * Creates a proxy without starting it.
    *
-   * @param endProcess ends the process, after a defect of the policy; runs on the event loop
+   * @param endProcess terminates the process after a policy defect; runs on the event loop
    */
   public ProxyServer(ProxyConfiguration configuration, Runnable endProcess) {
     this.configuration = configuration;
@@ -73,7 +77,7 @@
         new RequestCoordinator(
             settings,
             new AdaptiveLoadBalancingPolicy(settings, configuration.seed()),
-            new CoordinatorEnvironment(loop, new EpochClock(), lag, upstreamPools),
+            new CoordinatorEnvironment(loop, new EpochClock(), loopLag, upstreamPools),
             this::handlePolicyDefect);
     downstream =
         new DownstreamServer(
@@ -90,7 +94,7 @@
             new CoordinatorUpdates());
   }
 
-  /** Hands the watch events of discovery to the coordinator, on the event loop. */
+  /** Forwards discovery events to the coordinator, on the event loop. */
   private final class CoordinatorUpdates implements DiscoveryListener {
 
     @Override
@@ -105,37 +109,39 @@
   }
 
   /**
-   * Listens, starts the watch and the warm-up, and returns while these run; not to be called on the
-   * event loop, since it waits for the bind. A failed bind is thrown as it is.
+   * Starts listening, the watch of the endpoint list and the warm-up, and returns once the listener
+   * is bound. Must not be called on the event loop, since it waits for the bind. The exception of a
+   * failed bind is rethrown unchanged.
    *
    * @return the address that clients connect to
+   * @throws InterruptedException if interrupted while waiting for the bind
    */
   public InetSocketAddress start() throws InterruptedException {
     InetSocketAddress address = downstream.listen(configuration.listen());
     loop.execute(
         () -> {
           coordinator.start(configuration.known(), discovery::watch);
-          // Whatever list mode the settings name: on sockets a list comes by a watch only.
+          // The proxy receives endpoint lists only through a watch, whatever registry-mode says.
           discovery.watch(true);
           new WarmUp(
                   loop,
-                  lag,
+                  loopLag,
                   configuration.settings(),
                   warmUpPath,
-                  requestCount -> serve(address, requestCount))
+                  requestCount -> startServing(address, requestCount))
               .start(address);
         });
     return address;
   }
 
-  /** Reports that the proxy is ready, once it has warmed up. */
-  private void serve(InetSocketAddress address, int warmUpRequests) {
-    EventLog.info("lifecycle: warm-up complete requests=" + warmUpRequests);
+  /** Ends the warm-up: readiness checks succeed from now on, and the traffic log starts. */
+  private void startServing(InetSocketAddress address, int warmUpRequestCount) {
+    EventLog.info("lifecycle: warm-up complete requests=" + warmUpRequestCount);
     downstream.setReady();
     loop.scheduleAtFixedRate(
         coordinator::logStatistics,
-        REPORT_PERIOD_MILLIS,
-        REPORT_PERIOD_MILLIS,
+        TRAFFIC_LOG_PERIOD_MILLIS,
+        TRAFFIC_LOG_PERIOD_MILLIS,
         TimeUnit.MILLISECONDS);
     EventLog.info(
         "lifecycle: serving name="
@@ -147,14 +153,14 @@
     ready.countDown();
   }
 
-  /** Waits until clients are served. */
+  /** Blocks until the warm-up is complete and readiness checks succeed. */
   void awaitReady() throws InterruptedException {
     ready.await();
   }
 
   /**
-   * Takes over from a new configuration what may change while the proxy runs: the address of the
-   * discovery service.
+   * Applies a new configuration. Only the address of the discovery service can change while the
+   * proxy runs; all other fields are ignored.
    */
   void reload(ProxyConfiguration next) {
     loop.execute(
@@ -168,7 +174,7 @@
         });
   }
 
-  /** Starts the graceful shutdown; to be called once. */
+  /** Starts the graceful shutdown and returns immediately. Must be called only once. */
   void shutDown() {
     loop.execute(
         () -> {
@@ -185,7 +191,7 @@
     shutdownComplete.countDown();
   }
 
-  /** Waits until the graceful shutdown is complete, or until the calling thread is interrupted. */
+  /** Blocks until the graceful shutdown is complete or the calling thread is interrupted. */
   void awaitShutdown() {
     try {
       shutdownComplete.await();
@@ -194,7 +200,10 @@
     }
   }
 
-  /** Completes all open requests without the policy, whose state is unknown now, and ends. */
+  /**
+   * Completes all open requests without the policy, whose state may be inconsistent, and terminates
+   * the process.
+   */
   private void handlePolicyDefect(RuntimeException defect) {
     StackTraceElement[] trace = defect.getStackTrace();
     EventLog.error(
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
@@ -28,22 +28,26 @@
 import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
 /**
- * Runs synthetic requests through all parts of the proxy before it reports that it is ready, so
- * that the first clients do not meet a JVM whose classes are not loaded and whose code is not
- * compiled. The requests have a policy and connection pools of their own, and the proxy itself is
- * their upstream, at a path that nobody else knows. Belongs to the event loop.
+ * Sends synthetic requests through the whole request path before the proxy reports that it is
+ * ready, so that the JVM has loaded the classes and compiled the code before the first client
+ * requests arrive.
+ *
+ * <p>The requests use a separate policy and separate connection pools. Their upstream is the proxy
+ * itself, which responds to them at a random path known only to the warm-up.
+ *
+ * <p>Must be used on the event loop only.
  */
 final class WarmUp {
 
-  /** How many requests complete a warm-up. */
+  /** The number of requests after which the warm-up is complete. */
   static final int REQUEST_COUNT = 300;
 
   private static final int CONCURRENT_CLIENTS = 8;
   private static final int ENDPOINT_COUNT = 3;
 
   /**
-   * A limit for a proxy that cannot reach itself: clients arrive after 30 s in any case. Slow
-   * progress is no reason to end earlier, since on a fraction of a core the code is compiled late.
+   * Ends the warm-up of a proxy that cannot connect to itself, since clients arrive after 30 s in
+   * any case. The limit is not shorter because compilation takes long on a fraction of a core.
    */
   private static final long MAX_DURATION_NANOS = 20_000_000_000L;
 
@@ -59,18 +63,20 @@
   private final DownstreamServer downstream;
   private final long deadlineNanos = clock.nowNanos() + MAX_DURATION_NANOS;
   private final List<EmbeddedChannel> clients = new ArrayList<>();
-  private int sentRequests;
+  private int sentRequestCount;
 
   /**
-   * A warm-up that has not started.
+   * Creates a warm-up without starting it. The time limit runs from now on.
    *
-   * @param settings of the proxy
-   * @param path from {@link #newPath}, to which the proxy responds while it warms up
-   * @param onComplete gets the number of requests sent, on the event loop
+   * @param loop the event loop of the proxy
+   * @param loopLag the lag of this event loop
+   * @param settings the settings of the proxy
+   * @param path a path from {@link #newPath}, to which the proxy responds during the warm-up
+   * @param onComplete receives the number of requests sent, on the event loop
    */
   WarmUp(
       EventLoop loop,
-      EventLoopLag lag,
+      EventLoopLag loopLag,
       PolicySettings settings,
       String path,
       IntConsumer onComplete) {
@@ -86,17 +92,17 @@
         new RequestCoordinator(
             requests.settings(),
             new AdaptiveLoadBalancingPolicy(requests.settings(), 0),
-            new CoordinatorEnvironment(loop, clock, lag, upstreamPools),
+            new CoordinatorEnvironment(loop, clock, loopLag, upstreamPools),
             defect -> EventLog.error("lifecycle: policy defect during warm-up error=" + defect));
     downstream = new DownstreamServer(loop, requests.settings(), coordinator, CONCURRENT_CLIENTS);
   }
 
-  /** A path that no client can guess: requests to it are answered without being checked. */
+  /** Returns a random path. Clients must not guess it, since requests to it are not validated. */
   static String newPath() {
     return "/" + UUID.randomUUID();
   }
 
-  /** Starts to send requests to the proxy, which listens at this address. */
+  /** Starts sending requests to the proxy, which listens on this address. */
   void start(InetSocketAddress proxyAddress) {
     List<EndpointList.Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < ENDPOINT_COUNT; i++) {
@@ -114,20 +120,23 @@
     loop.execute(this::sendRound);
   }
 
-  /** Sends a request on each idle client connection; comes again until enough were sent. */
+  /**
+   * Sends a request on each idle client connection and schedules the next round, until {@link
+   * #REQUEST_COUNT} requests were sent or the time limit is reached.
+   */
   private void sendRound() {
-    if (sentRequests >= REQUEST_COUNT || clock.nowNanos() > deadlineNanos) {
+    if (sentRequestCount >= REQUEST_COUNT || clock.nowNanos() > deadlineNanos) {
       clients.forEach(EmbeddedChannel::close);
       upstreamPools.close();
-      onComplete.accept(sentRequests);
+      onComplete.accept(sentRequestCount);
       return;
     }
     for (EmbeddedChannel client : clients) {
       if (client.pipeline().get(ClientConnection.class).isIdle()) {
         client.releaseOutbound();
         client.writeInbound(
-            Unpooled.copiedBuffer(requests.text(sentRequests), StandardCharsets.US_ASCII));
-        sentRequests++;
+            Unpooled.copiedBuffer(requests.text(sentRequestCount), StandardCharsets.US_ASCII));
+        sentRequestCount++;
       }
     }
     loop.schedule(this::sendRound, ROUND_PERIOD_MICROS, TimeUnit.MICROSECONDS);
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUpRequests.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUpRequests.java
@@ -8,7 +8,7 @@
 import loadbalancer.policy.settings.Tenant;
 import loadbalancer.proxy.http.RequestHeaders;
 
-/** The synthetic requests of a warm-up and the settings that their policy needs; immutable. */
+/** The synthetic requests of a warm-up and the policy settings for them. Immutable. */
 final class WarmUpRequests {
 
   private static final int SESSION_KEY_COUNT = 50;
@@ -18,7 +18,12 @@
   private final String className;
   private final PolicySettings settings;
 
-  /** Requests to this path, for the tenants of the proxy's own settings. */
+  /**
+   * Creates requests of a single request class, which is named after the path.
+   *
+   * @param path the path of the requests, starting with a slash
+   * @param proxySettings the settings of the proxy, whose tenants the requests use
+   */
   WarmUpRequests(String path, PolicySettings proxySettings) {
     this.path = path;
     className = path.substring(1);
@@ -60,27 +65,31 @@
         proxySettings.clockResolutionNanos());
   }
 
-  /** The proxy's settings with the class of these requests alone. */
+  /** The proxy's settings, with the class of these requests as the only request class. */
   PolicySettings settings() {
     return settings;
   }
 
-  /** The text of a request; session keys and tenants take turns with its number. */
+  /**
+   * Formats a request as HTTP/1.1 text. Session keys and tenants are assigned in rotation.
+   *
+   * @param number the sequence number of the request, from 0
+   */
   String text(int number) {
     List<Tenant> tenants = settings.tenants();
     StringBuilder text = new StringBuilder("GET " + path + " HTTP/1.1\r\nHost: warm-up\r\n");
-    header(text, RequestHeaders.CORRELATION_ID, "warm-up-" + number);
-    header(text, RequestHeaders.SERVICE_CLASS, className);
-    header(text, RequestHeaders.SESSION_KEY, Integer.toString(number % SESSION_KEY_COUNT));
+    appendHeader(text, RequestHeaders.CORRELATION_ID, "warm-up-" + number);
+    appendHeader(text, RequestHeaders.SERVICE_CLASS, className);
+    appendHeader(text, RequestHeaders.SESSION_KEY, Integer.toString(number % SESSION_KEY_COUNT));
     if (!tenants.isEmpty()) {
-      header(text, RequestHeaders.ACCOUNT, tenants.get(number % tenants.size()).name());
+      appendHeader(text, RequestHeaders.ACCOUNT, tenants.get(number % tenants.size()).name());
     }
-    header(text, RequestHeaders.TIME_LEFT_MILLIS, "1000");
-    header(text, RequestHeaders.WORK_HINT_MICROS, "1000");
+    appendHeader(text, RequestHeaders.TIME_LEFT_MILLIS, "1000");
+    appendHeader(text, RequestHeaders.WORK_HINT_MICROS, "1000");
     return text.append("\r\n").toString();
   }
 
-  private static void header(StringBuilder text, String name, String value) {
+  private static void appendHeader(StringBuilder text, String name, String value) {
     text.append(name).append(": ").append(value).append("\r\n");
   }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/package-info.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The life of a proxy: the process and its signals, the server that puts the parts together,
- * warm-up, reload of the configuration, graceful shutdown.
+ * Lifecycle of the proxy process: start and signal handling, the server that connects the
+ * components, warm-up, configuration reload and graceful shutdown.
  */
 package loadbalancer.proxy.lifecycle;
