--- a/src/main/java/loadbalancer/proxy/telemetry/CompletedAttempt.java
+++ b/src/main/java/loadbalancer/proxy/telemetry/CompletedAttempt.java
@@ -4,14 +4,14 @@
 import loadbalancer.policy.event.AttemptStatus;
 
 /**
- * The figures of one completed attempt.
+ * The measurements of one completed attempt. Immutable.
  *
- * @param address the endpoint's address
- * @param category what the latency can be compared with
- * @param status how the attempt completed
- * @param foundStaleConnection whether a pooled connection was found closed by the endpoint
- * @param sendDelayNanos nanoseconds from the decision to forward to the first byte sent
- * @param latencyNanos nanoseconds from the first byte sent to the attempt's completion
+ * @param address the address of the endpoint
+ * @param category the category of the endpoint, by which latencies are averaged
+ * @param status the outcome of the attempt
+ * @param foundStaleConnection whether a pooled connection turned out to be closed by the endpoint
+ * @param sendDelayNanos time in nanoseconds from the decision to forward to the first byte sent
+ * @param latencyNanos time in nanoseconds from the first byte sent to the completion of the attempt
  */
 public record CompletedAttempt(
     InetSocketAddress address,
--- a/src/main/java/loadbalancer/proxy/telemetry/EndpointCategory.java
+++ b/src/main/java/loadbalancer/proxy/telemetry/EndpointCategory.java
@@ -1,11 +1,17 @@
 package loadbalancer.proxy.telemetry;
 
-/** Endpoints by what their latency can be compared with; each category is averaged on its own. */
+/**
+ * Groups endpoints whose latencies are comparable. The traffic log reports the mean latency of each
+ * category separately; the lower-case name of a constant is part of the log keys.
+ */
 public enum EndpointCategory {
-  /** In the zone of this balancer, past its warm-up. */
+  /** In the zone of this proxy, and started longer ago than the warm-up time. */
   LOCAL_ZONE,
-  /** In another zone, past its warm-up: its latency includes the cross-zone round trip. */
+  /**
+   * In another zone, and started longer ago than the warm-up time. Its latency includes the
+   * cross-zone round trip.
+   */
   REMOTE_ZONE,
-  /** Started within the warm-up time, in any zone. */
+  /** Started within the warm-up time before now, in any zone. */
   WARMING_UP
 }
--- a/src/main/java/loadbalancer/proxy/telemetry/TrafficCounters.java
+++ b/src/main/java/loadbalancer/proxy/telemetry/TrafficCounters.java
@@ -7,57 +7,58 @@
 import loadbalancer.policy.event.AttemptStatus;
 
 /**
- * Counts the requests and attempts of one reporting interval; {@link TrafficReporter} turns them
- * into a log line. Belongs to the event loop: no method may be called on another thread.
+ * Counts the requests and attempts of one reporting interval, for the line that {@link
+ * TrafficReporter} logs. Must be used on the event loop only.
  */
 public final class TrafficCounters {
 
   private static final double NANOS_PER_MILLI = 1e6;
 
   private final Map<InetSocketAddress, EndpointAttempts> attemptsByEndpoint = new HashMap<>();
-  private final Map<AttemptStatus, Tally> attemptsByStatus = tallies(AttemptStatus.class);
-  private final Map<EndpointCategory, Tally> servedByCategory = tallies(EndpointCategory.class);
+  private final Map<AttemptStatus, AttemptTotals> attemptsByStatus = newTotals(AttemptStatus.class);
+  private final Map<EndpointCategory, AttemptTotals> servedByCategory =
+      newTotals(EndpointCategory.class);
   private int requestsReceived;
   private int rejectedOnArrival;
   private int rejectedLater;
   private int requestsFailed;
   private int clientDisconnects;
   private int staleConnections;
-  private long sendDelayNanos;
+  private long sendDelaySumNanos;
   private long maxLoopLagNanos;
 
-  /** Counts a request that was admitted to the table of open requests. */
+  /** Counts a request that was added to the table of open requests. */
   public void requestReceived() {
     requestsReceived++;
   }
 
-  /** Counts a request rejected while its arrival was handled, before any attempt. */
+  /** Counts a request that was rejected while its arrival was handled, before any attempt. */
   public void requestRejectedOnArrival() {
     rejectedOnArrival++;
   }
 
-  /** Counts a request rejected after it was queued or attempted. */
+  /** Counts a request that was rejected after it had been queued or attempted. */
   public void requestRejectedLater() {
     rejectedLater++;
   }
 
-  /** Counts a request whose response said that it failed. */
+  /** Counts a request to which the proxy responded that it had failed. */
   public void requestFailed() {
     requestsFailed++;
   }
 
-  /** Counts a request whose client disconnected before its response. */
+  /** Counts a request whose client disconnected before the response was sent. */
   public void clientDisconnected() {
     clientDisconnects++;
   }
 
-  /** Counts a completed attempt and adds its times to the interval's sums. */
+  /** Counts a completed attempt and adds its latency and send delay to the interval's sums. */
   public void attemptCompleted(CompletedAttempt attempt) {
     EndpointAttempts endpoint =
         attemptsByEndpoint.computeIfAbsent(attempt.address(), address -> new EndpointAttempts());
     endpoint.total++;
     attemptsByStatus.get(attempt.status()).add(attempt.latencyNanos());
-    sendDelayNanos += attempt.sendDelayNanos();
+    sendDelaySumNanos += attempt.sendDelayNanos();
     if (attempt.foundStaleConnection()) {
       staleConnections++;
     }
@@ -68,84 +69,84 @@
     }
   }
 
-  /** Keeps the interval's largest event-loop lag, in nanoseconds. */
+  /** Records a measured event-loop lag in nanoseconds; only the interval's maximum is kept. */
   public void loopLagMeasured(long lagNanos) {
     maxLoopLagNanos = Math.max(maxLoopLagNanos, lagNanos);
   }
 
-  /** Starts a new interval: sets every count and sum to zero. */
+  /** Starts a new interval: sets all counters, sums and the maximum lag to zero. */
   void reset() {
     attemptsByEndpoint.clear();
-    attemptsByStatus.values().forEach(Tally::reset);
-    servedByCategory.values().forEach(Tally::reset);
+    attemptsByStatus.values().forEach(AttemptTotals::reset);
+    servedByCategory.values().forEach(AttemptTotals::reset);
     requestsReceived = 0;
     rejectedOnArrival = 0;
     rejectedLater = 0;
     requestsFailed = 0;
     clientDisconnects = 0;
     staleConnections = 0;
-    sendDelayNanos = 0;
+    sendDelaySumNanos = 0;
     maxLoopLagNanos = 0;
   }
 
-  /** Whether no request was received and no attempt completed in this interval. */
+  /** Returns true if no request was received and no attempt was completed in this interval. */
   boolean isEmpty() {
     return requestsReceived + attempts() == 0;
   }
 
-  /** Requests admitted to the table of open requests. */
+  /** The number of requests added to the table of open requests. */
   int requestsReceived() {
     return requestsReceived;
   }
 
-  /** Requests rejected while their arrival was handled. */
+  /** The number of requests rejected while their arrival was handled. */
   int rejectedOnArrival() {
     return rejectedOnArrival;
   }
 
-  /** Requests rejected after they were queued or attempted. */
+  /** The number of requests rejected after they had been queued or attempted. */
   int rejectedLater() {
     return rejectedLater;
   }
 
-  /** Requests whose response said that they failed. */
+  /** The number of requests to which the proxy responded that they had failed. */
   int requestsFailed() {
     return requestsFailed;
   }
 
-  /** Requests whose client disconnected before the response. */
+  /** The number of requests whose client disconnected before the response was sent. */
   int clientDisconnects() {
     return clientDisconnects;
   }
 
-  /** Attempts that found a pooled connection closed by the endpoint. */
+  /** The number of attempts that found a pooled connection closed by the endpoint. */
   int staleConnections() {
     return staleConnections;
   }
 
-  /** Completed attempts of any status. */
+  /** The number of completed attempts of any status. */
   int attempts() {
-    return attemptsByStatus.values().stream().mapToInt(tally -> tally.count).sum();
+    return attemptsByStatus.values().stream().mapToInt(totals -> totals.count).sum();
   }
 
-  /** Completed attempts with this status. */
+  /** The number of completed attempts with this status. */
   int attempts(AttemptStatus status) {
     return attemptsByStatus.get(status).count;
   }
 
-  /** Served attempts at endpoints of this category. */
+  /** The number of attempts served by endpoints of this category. */
   int served(EndpointCategory category) {
     return servedByCategory.get(category).count;
   }
 
-  /** Mean latency in milliseconds of the served attempts at endpoints of this category. */
+  /** Mean latency in milliseconds of the attempts served by endpoints of this category. */
   double meanServedMillis(EndpointCategory category) {
     return servedByCategory.get(category).meanMillis();
   }
 
   /** Mean time in milliseconds from the decision to forward an attempt to its first byte sent. */
   double meanSendDelayMillis() {
-    return meanMillis(sendDelayNanos, attempts());
+    return meanMillis(sendDelaySumNanos, attempts());
   }
 
   /** Mean latency in milliseconds of the attempts that timed out. */
@@ -158,7 +159,7 @@
     return maxLoopLagNanos / NANOS_PER_MILLI;
   }
 
-  /** Completed attempts by the endpoint's address. */
+  /** The completed attempts of each endpoint, by the endpoint's address; a live view. */
   Map<InetSocketAddress, EndpointAttempts> attemptsByEndpoint() {
     return attemptsByEndpoint;
   }
@@ -167,45 +168,45 @@
     return sumNanos / NANOS_PER_MILLI / Math.max(1, count);
   }
 
-  private static <E extends Enum<E>> Map<E, Tally> tallies(Class<E> type) {
-    Map<E, Tally> tallies = new EnumMap<>(type);
+  private static <E extends Enum<E>> Map<E, AttemptTotals> newTotals(Class<E> type) {
+    Map<E, AttemptTotals> totals = new EnumMap<>(type);
     for (E constant : type.getEnumConstants()) {
-      tallies.put(constant, new Tally());
+      totals.put(constant, new AttemptTotals());
     }
-    return tallies;
+    return totals;
   }
 
-  /** A number of attempts and the sum of their latencies. */
-  private static final class Tally {
+  /** The number of attempts in a group and the sum of their latencies. */
+  private static final class AttemptTotals {
     private int count;
-    private long sumNanos;
+    private long latencySumNanos;
 
-    private void add(long nanos) {
+    private void add(long latencyNanos) {
       count++;
-      sumNanos += nanos;
+      latencySumNanos += latencyNanos;
     }
 
     private double meanMillis() {
-      return TrafficCounters.meanMillis(sumNanos, count);
+      return TrafficCounters.meanMillis(latencySumNanos, count);
     }
 
     private void reset() {
       count = 0;
-      sumNanos = 0;
+      latencySumNanos = 0;
     }
   }
 
-  /** Completed attempts at one endpoint. */
+  /** The numbers of completed attempts at one endpoint. */
   static final class EndpointAttempts {
     private int total;
     private int notServed;
 
-    /** Attempts of any status. */
+    /** The number of attempts of any status. */
     int total() {
       return total;
     }
 
-    /** Attempts with a status other than served. */
+    /** The number of attempts with a status other than {@link AttemptStatus#SERVED}. */
     int notServed() {
       return notServed;
     }
--- a/src/main/java/loadbalancer/proxy/telemetry/TrafficReporter.java
+++ b/src/main/java/loadbalancer/proxy/telemetry/TrafficReporter.java
@@ -11,31 +11,38 @@
 import loadbalancer.proxy.telemetry.TrafficCounters.EndpointAttempts;
 
 /**
- * Formats the counters of an interval as one line, {@code traffic: interval key=value ...}, and
- * starts the next interval. Belongs to the event loop, as the counters do.
+ * Logs the traffic counters of each reporting interval as one line, {@code traffic: interval
+ * key=value ...}. Must be used on the event loop only, like the counters.
  */
 public final class TrafficReporter {
 
-  /** Endpoints named in a line: those with the most attempts that were not served. */
+  /** Maximum number of endpoints listed in a line: those with the most attempts not served. */
   private static final int MAX_WORST_ENDPOINTS = 3;
 
-  /** Fewer attempts that were not served do not make an endpoint worth naming. */
+  /** Endpoints with fewer attempts not served are not listed. */
   private static final int MIN_NOT_SERVED = 3;
 
   private final TrafficCounters counters;
 
-  /** Reports and resets these counters. */
+  /** Creates a reporter that logs and resets these counters. */
   public TrafficReporter(TrafficCounters counters) {
     this.counters = counters;
   }
 
-  /** Logs the interval unless it was empty, and starts the next one. */
+  /**
+   * Ends the interval and logs it unless it was empty.
+   *
+   * @param openRequests the number of requests open now
+   */
   public void logInterval(int openRequests) {
-    finishInterval(openRequests).ifPresent(EventLog::info);
+    endInterval(openRequests).ifPresent(EventLog::info);
   }
 
-  /** The interval's line, absent where nothing happened; resets the counters. */
-  Optional<String> finishInterval(int openRequests) {
+  /**
+   * Ends the interval: resets the counters and returns the interval's log line, which is empty if
+   * no request was received and no attempt was completed.
+   */
+  Optional<String> endInterval(int openRequests) {
     Optional<String> line =
         counters.isEmpty() ? Optional.empty() : Optional.of(format(openRequests));
     counters.reset();
@@ -78,7 +85,10 @@
     return constant.name().toLowerCase(Locale.ROOT);
   }
 
-  /** As {@code worst_endpoints=notServed/attempts@address,...}; left out where there is none. */
+  /**
+   * Appends {@code worst_endpoints=notServed/attempts@address,...}, or nothing if no endpoint has
+   * enough attempts not served.
+   */
   private void addWorstEndpoints(StringJoiner line) {
     String worst =
         counters.attemptsByEndpoint().entrySet().stream()
--- a/src/main/java/loadbalancer/proxy/telemetry/package-info.java
+++ b/src/main/java/loadbalancer/proxy/telemetry/package-info.java
@@ -1,2 +1,2 @@
-/** The log, the traffic counters and the measured lag of the event loop. */
+/** Telemetry of the proxy: event log, traffic counters and event-loop lag. */
 package loadbalancer.proxy.telemetry;
--- a/src/test/java/loadbalancer/proxy/telemetry/TrafficReporterTest.java
+++ b/src/test/java/loadbalancer/proxy/telemetry/TrafficReporterTest.java
@@ -39,7 +39,7 @@
     complete(EndpointCategory.REMOTE_ZONE, AttemptStatus.SERVED, 70);
     complete(EndpointCategory.WARMING_UP, AttemptStatus.SERVED, 200);
     complete(EndpointCategory.WARMING_UP, AttemptStatus.TIMEOUT, 900);
-    String line = reporter.finishInterval(0).orElseThrow();
+    String line = reporter.endInterval(0).orElseThrow();
     assertTrue(
         line.contains(
             " served_local_zone=2 served_local_zone_mean_ms=50.0"
@@ -47,7 +47,7 @@
                 + " served_warming_up=1 served_warming_up_mean_ms=200.0"
                 + " timeout_mean_ms=900.0 "),
         line);
-    assertEquals(Optional.empty(), reporter.finishInterval(0), "nothing since");
+    assertEquals(Optional.empty(), reporter.endInterval(0), "nothing since");
   }
 
   @Test
@@ -83,6 +83,6 @@
             + " served_warming_up=0 served_warming_up_mean_ms=0.0"
             + " timeout_mean_ms=0.0 loop_lag_max_ms=7"
             + " worst_endpoints=3/4@/127.0.0.1:1",
-        reporter.finishInterval(4).orElseThrow());
+        reporter.endInterval(4).orElseThrow());
   }
 }
