--- a/src/main/java/loadbalancer/CommandLine.java
+++ b/src/main/java/loadbalancer/CommandLine.java
@@ -8,7 +8,8 @@
 import loadbalancer.simulator.SimulatorSession;
 
 /**
- * The command line: the proxy on sockets, its start alone, or the policy on the simulator's wire.
+ * The program's entry point. Its commands run the proxy, start the proxy only to create a
+ * class-data-sharing archive, or connect the policy to a simulator.
  */
 public final class CommandLine {
 
@@ -19,10 +20,14 @@
   private CommandLine() {}
 
   /**
-   * Runs one command and ends the process with its exit status.
+   * Runs one command and exits with its status.
    *
-   * @param args {@code serve}: the proxy, until SIGTERM; {@code rehearse}: its start alone; or
-   *     {@code adapter}: events on standard input, actions on standard output, until the input ends
+   * @param args one of the commands: {@code serve} runs the proxy until SIGTERM; {@code rehearse}
+   *     starts the proxy and exits once it is ready; {@code adapter} reads batches of events from
+   *     standard input and writes actions to standard output until the input ends
+   * @throws IOException if a standard stream fails, or {@code rehearse} cannot read the
+   *     configuration file
+   * @throws InterruptedException if interrupted while the proxy starts
    */
   public static void main(String[] args) throws IOException, InterruptedException {
     if (isCommand("serve", args)) {
@@ -35,10 +40,9 @@
   }
 
   /**
-   * Runs {@code adapter}, or prints the usage text to {@code err} where {@code args} are none of
-   * the commands.
+   * Runs {@code adapter}, or prints the usage text to {@code err} if {@code args} is anything else.
    *
-   * @return the exit status: 0 at the end of the input, 1 for malformed input, 2 for a wrong
+   * @return the exit status: 0 at the end of the input, 1 for malformed input, 2 for an invalid
    *     command line
    * @throws IOException if a stream fails
    */
@@ -64,8 +68,9 @@
   private static void printUsage(PrintStream err) {
     err.println("usage: java -jar load-balancer.jar serve|rehearse|adapter");
     err.println(
-        "  serve     balance on sockets as the PROXY_ variables and their configuration file say");
-    err.println("  rehearse  start like serve and end once ready: for making a class-data archive");
+        "  serve     run the proxy, configured by the PROXY_ variables and the configuration file");
+    err.println(
+        "  rehearse  start the proxy and exit once ready, to create a class-data-sharing archive");
     err.println(
         "  adapter   read batches of events from standard input, write actions to standard output");
   }
--- a/src/main/java/loadbalancer/package-info.java
+++ b/src/main/java/loadbalancer/package-info.java
@@ -1,5 +1,2 @@
-/**
- * The command line of the load balancer: the real balancer, the rehearsal of its start, and the
- * simulator's adapter.
- */
+/** The command line of the load balancer, with its entry point {@link CommandLine}. */
 package loadbalancer;
