--- a/src/test/java/loadbalancer/ArchitectureTest.java
+++ b/src/test/java/loadbalancer/ArchitectureTest.java
@@ -10,16 +10,16 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** The direction of dependencies between the packages, as docs/ARCHITECTURE.md shows it. */
+/** Checks the dependencies between the packages against those in docs/ARCHITECTURE.md. */
 @AnalyzeClasses(packages = "loadbalancer", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
 
   @ArchTest
-  static final ArchRule NO_PACKAGE_IMPORTS_ONE_THAT_IMPORTS_IT =
+  static final ArchRule PACKAGES_HAVE_NO_CYCLIC_DEPENDENCIES =
       slices().matching("loadbalancer.(**)").should().beFreeOfCycles();
 
   @ArchTest
-  static final ArchRule THE_POLICY_USES_THE_JDK_ONLY =
+  static final ArchRule POLICY_DEPENDS_ON_JAVA_LANG_AND_JAVA_UTIL_ONLY =
       classes()
           .that()
           .resideInAPackage("loadbalancer.policy..")
@@ -27,8 +27,9 @@
           .onlyDependOnClassesThat()
           .resideInAnyPackage("loadbalancer.policy..", "java.lang..", "java.util..");
 
+  /** The policy is deterministic: the time comes with each event, random numbers from its seed. */
   @ArchTest
-  static final ArchRule THE_POLICY_HAS_NO_CLOCK_THREAD_OR_OTHER_SOURCE_OF_RANDOMNESS =
+  static final ArchRule POLICY_USES_NO_SYSTEM_CLOCK_CONCURRENCY_JDK_RANDOM_OR_CONSOLE =
       noClasses()
           .that()
           .resideInAPackage("loadbalancer.policy..")
@@ -48,7 +49,7 @@
           .accessField(System.class, "err");
 
   @ArchTest
-  static final ArchRule ONLY_THE_EDGE_READS_JSON =
+  static final ArchRule ONLY_CONFIG_AND_SIMULATOR_USE_JACKSON =
       noClasses()
           .that()
           .resideOutsideOfPackages("loadbalancer.config..", "loadbalancer.simulator..")
@@ -57,7 +58,7 @@
           .resideInAPackage("com.fasterxml..");
 
   @ArchTest
-  static final ArchRule DEPENDENCIES_POINT_ONE_WAY =
+  static final ArchRule LAYERS_ARE_ACCESSED_BY_THE_LISTED_LAYERS_ONLY =
       layeredArchitecture()
           .consideringOnlyDependenciesInLayers()
           .layer("command line")
--- a/src/test/java/loadbalancer/CommandLineTest.java
+++ b/src/test/java/loadbalancer/CommandLineTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Exit statuses of the command line, and what it prints where. */
+/** Tests the exit statuses of the command line and its output on both standard streams. */
 class CommandLineTest {
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -33,14 +33,14 @@
   }
 
   @Test
-  void endOfTheInputIsStatusZero() throws IOException {
+  void endOfInputExitsWithStatusZero() throws IOException {
     assertEquals(0, run("{\"clock-ns\":1,\"groups\":[]}\n", "adapter"));
     assertEquals("{\"groups\":[]}\n", standardOutput());
     assertEquals("", standardError());
   }
 
   @Test
-  void malformedInputIsOneLineOnStandardErrorAndStatusOne() throws IOException {
+  void malformedInputPrintsOneErrorLineAndExitsWithStatusOne() throws IOException {
     assertEquals(1, run("{\"clock-ns\":1,\"groups\":[]}\n{\"clock-ns\":\n{}\n", "adapter"));
     assertEquals("{\"groups\":[]}\n", standardOutput(), "no reply to the malformed line");
     assertEquals(1, standardError().lines().count(), standardError());
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void unknownCommandLineIsAUsageTextAndStatusTwo() throws IOException {
+  void invalidCommandLinePrintsUsageAndExitsWithStatusTwo() throws IOException {
     assertEquals(2, run(""));
     assertEquals(2, run("", "proxy"));
     assertEquals(2, run("", "adapter", "more"));
--- a/src/test/java/loadbalancer/proxy/lifecycle/WarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/WarmUpTest.java
@@ -26,66 +26,72 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The synthetic requests that a proxy sends to itself before it reports that it is ready. */
+/**
+ * Tests the warm-up of a proxy whose event loop is often blocked, as on a machine short of CPU. A
+ * warm-up that gave up on slow progress would let the proxy report that it is ready with cold code.
+ */
 class WarmUpTest {
 
-  private static final long STALL_NANOS = 15_000_000L;
+  private static final long BLOCK_NANOS = 15_000_000L;
 
   private final EventLoop loop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-  private volatile boolean isWarmedUp;
+  private volatile boolean isWarmUpComplete;
 
   @AfterEach
   void stop() {
     loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
-  /** Blocks the event loop again and again, as on a core that other processes use. */
+  /**
+   * Blocks the event loop for 15 ms, again and again until the warm-up completes, as on a core that
+   * other processes use.
+   */
   private void blockLoopPeriodically() {
-    for (long end = System.nanoTime() + STALL_NANOS; System.nanoTime() < end; ) {
+    for (long end = System.nanoTime() + BLOCK_NANOS; System.nanoTime() < end; ) {
       LockSupport.parkNanos(end - System.nanoTime());
     }
-    if (!isWarmedUp) {
+    if (!isWarmUpComplete) {
       loop.schedule(this::blockLoopPeriodically, 1, TimeUnit.MILLISECONDS);
     }
   }
 
   @Test
-  void warmUpCompletesAllRequestsOnASlowEventLoop() throws Exception {
-    JsonObjectReader fields =
+  void warmUpSendsAllRequestsOnASlowEventLoop() throws Exception {
+    JsonObjectReader configuration =
         JsonObjectReader.parse(
             "configuration", TestProxy.configurationJson(TestProxy.unreachableAddress(), 1));
-    PolicySettings settings = PolicySettingsReader.read(fields.nested("settings"));
-    EventLoopLag lag = new EventLoopLag(loop);
-    UpstreamConnectionPools pool =
+    PolicySettings settings = PolicySettingsReader.read(configuration.nested("settings"));
+    EventLoopLag loopLag = new EventLoopLag(loop);
+    UpstreamConnectionPools upstreamPools =
         new UpstreamConnectionPools(
             loop, new ConnectionLimits(1_000_000_000L, 60_000_000_000L, 10));
     RequestCoordinator coordinator =
         new RequestCoordinator(
             settings,
             new AdaptiveLoadBalancingPolicy(settings, 1),
-            new CoordinatorEnvironment(loop, new EpochClock(), lag, pool),
+            new CoordinatorEnvironment(loop, new EpochClock(), loopLag, upstreamPools),
             defect -> {});
     String path = WarmUp.newPath();
     DownstreamServer server = new DownstreamServer(loop, settings, coordinator, 100);
     server.setWarmUpPath(path);
     InetSocketAddress address =
         server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-    BlockingQueue<Integer> completed = new LinkedBlockingQueue<>();
+    BlockingQueue<Integer> requestCounts = new LinkedBlockingQueue<>();
     loop.execute(this::blockLoopPeriodically);
     loop.execute(
         () ->
             new WarmUp(
                     loop,
-                    lag,
+                    loopLag,
                     settings,
                     path,
                     requestCount -> {
-                      isWarmedUp = true;
-                      completed.add(requestCount);
+                      isWarmUpComplete = true;
+                      requestCounts.add(requestCount);
                     })
                 .start(address));
-    int requestCount = completed.poll(60, TimeUnit.SECONDS);
+    int requestCount = requestCounts.poll(60, TimeUnit.SECONDS);
     assertTrue(requestCount >= WarmUp.REQUEST_COUNT, "requests sent: " + requestCount);
   }
 }
--- a/src/test/java/loadbalancer/proxy/telemetry/EventLogTest.java
+++ b/src/test/java/loadbalancer/proxy/telemetry/EventLogTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The form of a log line, and the limit on lines that peers cause. */
+/** Tests the format of log lines and the rate limit on lines that peers can cause. */
 class EventLogTest {
 
   private final PrintStream standardError = System.err;
@@ -26,33 +26,37 @@
     System.setErr(standardError);
   }
 
-  private long linesWith(String text) {
-    return output.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains(text)).count();
+  private long countLinesContaining(String text) {
+    return output
+        .toString(StandardCharsets.UTF_8)
+        .lines()
+        .filter(line -> line.contains(text))
+        .count();
   }
 
   @Test
-  void lineStartsWithItsLevel() {
+  void lineStartsWithLevel() {
     EventLog.info("test: first");
     EventLog.warn("test: second");
     EventLog.error("test: third");
-    assertEquals(1, linesWith("INFO test: first"));
-    assertEquals(1, linesWith("WARN test: second"));
-    assertEquals(1, linesWith("ERROR test: third"));
+    assertEquals(1, countLinesContaining("INFO test: first"));
+    assertEquals(1, countLinesContaining("WARN test: second"));
+    assertEquals(1, countLinesContaining("ERROR test: third"));
   }
 
   @Test
-  void lineBreaksBecomeSpaces() {
+  void lineBreaksAreReplacedBySpaces() {
     EventLog.info("test: event\r\nforged: line");
-    assertEquals(1, linesWith("INFO test: event  forged: line"));
+    assertEquals(1, countLinesContaining("INFO test: event  forged: line"));
   }
 
   @Test
-  void fewLinesOfAFloodAreWritten() {
+  void rateLimitDropsMostLinesOfAFlood() {
     for (int i = 0; i < 1_000; i++) {
       EventLog.infoRateLimited("test: flood");
       EventLog.warnRateLimited("test: flood");
     }
-    long written = linesWith("test: flood");
-    assertTrue(written >= 1 && written <= 100, written + " lines of 2,000");
+    long written = countLinesContaining("test: flood");
+    assertTrue(written >= 1 && written <= 100, written + " of 2,000 lines written");
   }
 }
--- a/src/test/java/loadbalancer/proxy/telemetry/TrafficReporterTest.java
+++ b/src/test/java/loadbalancer/proxy/telemetry/TrafficReporterTest.java
@@ -10,7 +10,7 @@
 import loadbalancer.policy.event.AttemptStatus;
 import org.junit.jupiter.api.Test;
 
-/** What the line of an interval holds, and that the next interval starts from zero. */
+/** Tests the log line of an interval, and that the next interval starts from zero. */
 class TrafficReporterTest {
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -26,19 +26,20 @@
     }
   }
 
-  private void complete(EndpointCategory category, AttemptStatus status, long latencyMillis) {
+  private void completeAttempt(
+      EndpointCategory category, AttemptStatus status, long latencyMillis) {
     counters.attemptCompleted(
         new CompletedAttempt(
             endpoint(1), category, status, false, 0, latencyMillis * NANOS_PER_MILLI));
   }
 
   @Test
-  void lineHoldsWhatEachCategoryOfEndpointsServed() {
-    complete(EndpointCategory.LOCAL_ZONE, AttemptStatus.SERVED, 40);
-    complete(EndpointCategory.LOCAL_ZONE, AttemptStatus.SERVED, 60);
-    complete(EndpointCategory.REMOTE_ZONE, AttemptStatus.SERVED, 70);
-    complete(EndpointCategory.WARMING_UP, AttemptStatus.SERVED, 200);
-    complete(EndpointCategory.WARMING_UP, AttemptStatus.TIMEOUT, 900);
+  void lineReportsServedAttemptsByEndpointCategoryAndCountersAreReset() {
+    completeAttempt(EndpointCategory.LOCAL_ZONE, AttemptStatus.SERVED, 40);
+    completeAttempt(EndpointCategory.LOCAL_ZONE, AttemptStatus.SERVED, 60);
+    completeAttempt(EndpointCategory.REMOTE_ZONE, AttemptStatus.SERVED, 70);
+    completeAttempt(EndpointCategory.WARMING_UP, AttemptStatus.SERVED, 200);
+    completeAttempt(EndpointCategory.WARMING_UP, AttemptStatus.TIMEOUT, 900);
     String line = reporter.endInterval(0).orElseThrow();
     assertTrue(
         line.contains(
@@ -47,11 +48,11 @@
                 + " served_warming_up=1 served_warming_up_mean_ms=200.0"
                 + " timeout_mean_ms=900.0 "),
         line);
-    assertEquals(Optional.empty(), reporter.endInterval(0), "nothing since");
+    assertEquals(Optional.empty(), reporter.endInterval(0), "the next interval is empty");
   }
 
   @Test
-  void lineHoldsEveryCountAndTheWorstEndpoint() {
+  void lineReportsEveryCounterAndTheWorstEndpoint() {
     counters.requestReceived();
     counters.requestRejectedOnArrival();
     counters.requestRejectedLater();
@@ -59,9 +60,9 @@
     counters.requestFailed();
     counters.clientDisconnected();
     for (int i = 0; i < 3; i++) {
-      complete(EndpointCategory.LOCAL_ZONE, AttemptStatus.ERROR, 1);
+      completeAttempt(EndpointCategory.LOCAL_ZONE, AttemptStatus.ERROR, 1);
     }
-    complete(EndpointCategory.LOCAL_ZONE, AttemptStatus.SERVED, 10);
+    completeAttempt(EndpointCategory.LOCAL_ZONE, AttemptStatus.SERVED, 10);
     counters.attemptCompleted(
         new CompletedAttempt(
             endpoint(2),
