--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The steps of the downstream server's graceful shutdown: complete requests are answered, other
- * connections are closed.
+ * Tests the steps of the downstream server's graceful shutdown: every completely received request
+ * gets a response, and all other connections are closed.
  */
 class GracefulShutdownTest {
 
@@ -24,7 +24,7 @@
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
 
   @AfterEach
-  void stop() {
+  void shutDownLoop() {
     loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void incompleteRequestIsServedOnceItIsComplete() throws Exception {
+  void partiallyReceivedRequestIsServedOnceComplete() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestDownstreamServer server = new TestDownstreamServer(loop, event -> {}, upstream);
       try (TestClient client = new TestClient(server.address)) {
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void newConnectionMayStillSendARequest() throws Exception {
+  void unusedConnectionIsKeptForItsFirstRequest() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestDownstreamServer server = new TestDownstreamServer(loop, event -> {}, upstream);
       try (TestClient client = new TestClient(server.address)) {
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void incompleteRequestsAreEndedAndThoseInFlightAreCompleted() throws Exception {
+  void incompleteRequestsAreClosedAndRequestsInFlightAreCompleted() throws Exception {
     CountDownLatch responseReleased = new CountDownLatch(1);
     try (FakeHttpServer upstream =
         new FakeHttpServer(
@@ -90,7 +90,7 @@
             })) {
       TestDownstreamServer server = new TestDownstreamServer(loop, event -> {}, upstream);
       try (TestClient incomplete = new TestClient(server.address);
-          TestClient silent = new TestClient(server.address);
+          TestClient unused = new TestClient(server.address);
           TestClient inFlight = new TestClient(server.address)) {
         inFlight.send(REQUEST);
         TestProxy.waitUntil(() -> upstream.requests.size() == 1);
@@ -100,7 +100,7 @@
         server.closeIncompleteRequests();
         assertEquals(408, incomplete.readResponse().status());
         assertTrue(incomplete.isClosedByServer());
-        assertTrue(silent.isClosedByServer());
+        assertTrue(unused.isClosedByServer());
         responseReleased.countDown();
         assertEquals("fine", inFlight.readResponse().body());
         assertTrue(inFlight.isClosedByServer());
--- a/src/test/java/loadbalancer/proxy/ManualEventLoop.java
+++ b/src/test/java/loadbalancer/proxy/ManualEventLoop.java
@@ -9,50 +9,59 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** An event loop with real sockets whose timers follow a clock that only the test advances. */
+/**
+ * An event loop with real sockets, whose timers run on a manual clock: time passes only when a test
+ * calls {@link #advance}. The public methods other than {@link #schedule} are called on the thread
+ * of the test.
+ */
 public final class ManualEventLoop extends SingleThreadIoEventLoop {
 
-  private record Timer(long atMillis, Runnable task, ScheduledFuture<?> handle) {}
+  private record Timer(long dueMillis, Runnable task, ScheduledFuture<?> handle) {}
 
   private final List<Timer> timers = new ArrayList<>();
   private long nowMillis;
 
-  /** Makes a loop whose clock stands at 0. */
+  /** Creates a loop whose clock is at 0. */
   public ManualEventLoop() {
     super(null, new DefaultThreadFactory("manual-event-loop", true), NioIoHandler.newFactory());
   }
 
-  /** Called on the thread of the loop only, as are the timers. */
+  /**
+   * Schedules a task on the manual clock. Must be called on the thread of the loop, which also runs
+   * the task.
+   *
+   * @return a handle that cancels the timer; its other state is meaningless
+   */
   @Override
   public ScheduledFuture<?> schedule(Runnable task, long delay, TimeUnit unit) {
-    // The handle only carries cancellation: no test lasts until it fires by itself.
+    // The handle is for cancellation only. No test runs long enough for it to fire.
     ScheduledFuture<?> handle = super.schedule(() -> {}, 1, TimeUnit.DAYS);
     timers.add(new Timer(nowMillis + unit.toMillis(delay), task, handle));
     return handle;
   }
 
-  private Timer earliest() {
+  private Timer nextTimer() {
     timers.removeIf(timer -> timer.handle().isCancelled());
-    return timers.stream().min(Comparator.comparingLong(Timer::atMillis)).orElse(null);
+    return timers.stream().min(Comparator.comparingLong(Timer::dueMillis)).orElse(null);
   }
 
   /** Milliseconds to the next timer, read between two tasks of the loop; -1 if there is none. */
   public long millisToNextTimer() {
-    return submit(() -> earliest() == null ? -1 : earliest().atMillis() - nowMillis)
+    return submit(() -> nextTimer() == null ? -1 : nextTimer().dueMillis() - nowMillis)
         .syncUninterruptibly()
         .getNow();
   }
 
-  /** Advances the clock and runs the timers that come due on the way, in order. */
+  /** Advances the clock and runs, in order, the timers that become due; returns after they ran. */
   public void advance(long millis) {
     submit(
             () -> {
               long endMillis = nowMillis + millis;
-              for (Timer due = earliest();
-                  due != null && due.atMillis() <= endMillis;
-                  due = earliest()) {
+              for (Timer due = nextTimer();
+                  due != null && due.dueMillis() <= endMillis;
+                  due = nextTimer()) {
                 timers.remove(due);
-                nowMillis = due.atMillis();
+                nowMillis = due.dueMillis();
                 due.task().run();
               }
               nowMillis = endMillis;
--- a/src/test/java/loadbalancer/proxy/ProcessDescriptorLimitTest.java
+++ b/src/test/java/loadbalancer/proxy/ProcessDescriptorLimitTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The program as a process with few file descriptors. */
+/** Tests the program as a process with a limit of 256 file descriptors. */
 class ProcessDescriptorLimitTest {
 
   private static final long HEARTBEAT_MILLIS = 500;
@@ -31,25 +31,30 @@
   private TestProcess program;
 
   @BeforeEach
-  void prepare() {
+  void createProcess() {
     program = new TestProcess(folder);
   }
 
   @AfterEach
-  void stop() {
+  void killProcess() {
     program.close();
   }
 
-  static Stream<Arguments> crowds() {
-    String[] all = {IdleClients.NO_BYTES, IdleClients.READINESS_REQUEST, IdleClients.PARTIAL_HEAD};
+  static Stream<Arguments> idleClientTexts() {
+    String[] allTexts = {
+      IdleClients.NO_BYTES, IdleClients.READINESS_REQUEST, IdleClients.PARTIAL_HEAD
+    };
     return Stream.of(
         Arguments.of((Object) new String[] {IdleClients.NO_BYTES}),
         Arguments.of((Object) new String[] {IdleClients.READINESS_REQUEST}),
-        Arguments.of((Object) all));
+        Arguments.of((Object) allTexts));
   }
 
-  /** A watch that stands until its connection ends, however long the process takes to start. */
-  private static void watchWithHeartbeats(String request, Socket connection, OutputStream output)
+  /**
+   * Sends a watch response kept alive by heartbeats, so that it does not time out while the process
+   * starts.
+   */
+  private static void sendHeartbeats(String request, Socket connection, OutputStream output)
       throws Exception {
     FakeHttpServer.write(output, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     while (!connection.isClosed()) {
@@ -58,10 +63,14 @@
     }
   }
 
-  /** Idle clients and upstreams at their limits together, and a discovery that ends each watch. */
+  /**
+   * Brings client and upstream connections to their limits while the discovery service closes the
+   * connection of each watch. The process must not run out of descriptors ("Too many open files"),
+   * must pass readiness checks and must serve new clients.
+   */
   @ParameterizedTest
-  @MethodSource("crowds")
-  void processStaysWithinItsDescriptorLimitAndKeepsServing(String[] crowd) throws Exception {
+  @MethodSource("idleClientTexts")
+  void processStaysWithinItsDescriptorLimitAndKeepsServing(String[] texts) throws Exception {
     CountDownLatch responsesReleased = new CountDownLatch(1);
     FakeHttpServer.RequestHandler silentWatch =
         (request, connection, output) ->
@@ -76,7 +85,7 @@
               });
     }
     try (FakeHttpServer discovery =
-        new FakeHttpServer(ProcessDescriptorLimitTest::watchWithHeartbeats)) {
+        new FakeHttpServer(ProcessDescriptorLimitTest::sendHeartbeats)) {
       Files.writeString(
           program.configurationFile(),
           TestProxy.configurationJson(discovery.address(), 1, upstreams)
@@ -84,9 +93,9 @@
       program.startAfterShellCommandLoggingToFile("ulimit -n 256");
       InetSocketAddress address = program.awaitServingInLogFile();
       TestProxy.waitUntil(() -> discovery.requests.size() == 1);
-      List<TestClient> waiting = new ArrayList<>();
+      List<TestClient> waitingClients = new ArrayList<>();
       for (int i = 0; i < 102; i++) {
-        waiting.add(
+        waitingClients.add(
             new TestClient(address)
                 .send(
                     TestClient.idempotentRequest("h" + i, 20_000, "")
@@ -96,53 +105,54 @@
         TestProxy.waitUntil(
             () -> Stream.of(upstreams).mapToInt(upstream -> upstream.requests.size()).sum() == 102);
         AtomicInteger maxDescriptors = new AtomicInteger();
-        try (IdleClients idle = new IdleClients(address, 600, true, crowd)) {
+        try (IdleClients idleClients = new IdleClients(address, 600, true, texts)) {
           discovery.requestHandler = (request, connection, output) -> connection.close();
           discovery.connections.get(0).close();
           TestProxy.waitUntil(
               () -> {
                 maxDescriptors.accumulateAndGet(program.openDescriptors(), Math::max);
-                return discovery.requests.size() > 3 && idle.closedByServer.get() > 100;
+                return discovery.requests.size() > 3 && idleClients.closedByServer.get() > 100;
               });
           discovery.requestHandler = silentWatch;
-          int watches = discovery.requests.size();
+          int watchCount = discovery.requests.size();
           TestProxy.waitUntil(
               () -> {
                 maxDescriptors.accumulateAndGet(program.openDescriptors(), Math::max);
-                return discovery.requests.size() > watches;
+                return discovery.requests.size() > watchCount;
               });
-          try (TestClient up = new TestClient(address)) {
-            assertEquals(200, up.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
+          try (TestClient readinessClient = new TestClient(address)) {
+            assertEquals(
+                200, readinessClient.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
           }
           responsesReleased.countDown();
-          // Each gets a response at once: a rejection while the waiting requests hold all capacity
-          // or their latency dominates the average.
-          int[] next = {0};
+          // Each request gets a response without delay. It may be a rejection while the earlier
+          // requests hold all capacity or while their latency dominates the mean.
+          int[] requestCount = {0};
           TestProxy.waitUntil(
               () -> {
                 try (TestClient client = new TestClient(address)) {
                   return client
-                      .exchange(TestClient.idempotentRequest("n" + next[0]++, 15_000, ""))
+                      .exchange(TestClient.idempotentRequest("n" + requestCount[0]++, 15_000, ""))
                       .body()
                       .equals("fine");
                 } catch (IOException e) {
-                  throw new AssertionError("a new client was not answered", e);
+                  throw new AssertionError("a new client did not get a response", e);
                 }
               });
           assertTrue(
               maxDescriptors.get() > 217 && maxDescriptors.get() < 256,
-              "most descriptors in use: " + maxDescriptors);
+              "maximum number of open descriptors: " + maxDescriptors);
           assertFalse(program.logFileText().contains("Too many open files"), program.logFileText());
-          for (TestClient client : waiting) {
+          for (TestClient client : waitingClients) {
             assertTrue(
                 List.of(200, 429).contains(client.readResponse().status()),
-                "served, or out of time by then");
+                "served, or rejected because its time was up");
           }
           program.terminate();
           assertEquals(0, program.awaitExitStatus());
         }
       } finally {
-        for (TestClient client : waiting) {
+        for (TestClient client : waitingClients) {
           client.close();
         }
         for (FakeHttpServer upstream : upstreams) {
--- a/src/test/java/loadbalancer/proxy/ProcessTest.java
+++ b/src/test/java/loadbalancer/proxy/ProcessTest.java
@@ -14,23 +14,28 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as a process: start, reload, graceful shutdown, exit status. */
+/** Tests the program as a process: start, reload, graceful shutdown and exit status. */
 class ProcessTest {
 
   @TempDir private Path folder;
   private TestProcess program;
 
   @BeforeEach
-  void prepare() {
+  void createProcess() {
     program = new TestProcess(folder);
   }
 
   @AfterEach
-  void stop() {
+  void killProcess() {
     program.close();
   }
 
-  /** Starts the program with this configuration, or without a file where it is null. */
+  /**
+   * Starts the program.
+   *
+   * @param configuration the text of the configuration file; null for a missing file
+   * @param variables additional environment variables, alternating names and values
+   */
   private void start(String configuration, String... variables) throws Exception {
     if (configuration != null) {
       Files.writeString(program.configurationFile(), configuration);
@@ -40,11 +45,11 @@
 
   @Test
   void sigtermCompletesRequestsInFlightAndExitsWithStatusZero() throws Exception {
-    CountDownLatch responsesReleased = new CountDownLatch(1);
+    CountDownLatch responseReleased = new CountDownLatch(1);
     try (FakeHttpServer upstream =
         new FakeHttpServer(
             (request, connection, output) -> {
-              responsesReleased.await();
+              responseReleased.await();
               FakeHttpServer.write(output, FakeHttpServer.okResponse("fine"));
             })) {
       start(TestProxy.configurationJson(TestProxy.unreachableAddress(), 1, upstream));
@@ -61,17 +66,19 @@
         assertEquals(
             503,
             idle.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status(),
-            "connected clients are still served");
-        try (TestClient late = new TestClient(address)) {
-          assertEquals(503, late.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
+            "an open connection is still served");
+        try (TestClient newClient = new TestClient(address)) {
+          assertEquals(503, newClient.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
         } catch (IOException e) {
-          // On a loaded machine the half second in which connections are accepted may be over.
-          assertTrue(program.isAlive(), "the request in flight is still open");
+          // On a loaded machine, the 500 ms during which the proxy still listens may be over.
+          assertTrue(program.isAlive(), "the process runs until the request in flight is complete");
         }
-        assertTrue(idle.isClosedByServer(), "an idle connection is closed in the end");
+        assertTrue(idle.isClosedByServer(), "the idle connection is closed");
         assertEquals(
-            408, incomplete.readResponse().status(), "an incomplete request is not waited for");
-        responsesReleased.countDown();
+            408,
+            incomplete.readResponse().status(),
+            "the incomplete request gets a 408 and does not delay the shutdown");
+        responseReleased.countDown();
         TestClient.Response response = inFlight.readResponse();
         assertEquals("fine", response.body());
         assertTrue(response.head().contains("connection: close"), response.head());
@@ -81,9 +88,13 @@
     }
   }
 
-  /** Without a handler SIGHUP ends a Java process. */
+  /**
+   * SIGHUP terminates a JVM without a handler. The proxy instead has to connect to the new
+   * discovery address, close the watch at the old one and keep serving. A malformed file must
+   * neither change the configuration nor prevent later reloads.
+   */
   @Test
-  void sighupMovesToTheNewDiscoveryAndAMalformedFileChangesNothing() throws Exception {
+  void sighupMovesWatchToNewDiscoveryAddressAndMalformedFileChangesNothing() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine");
         FakeHttpServer first = new FakeHttpServer((request, connection, output) -> {});
         FakeHttpServer second = new FakeHttpServer((request, connection, output) -> {});
@@ -114,9 +125,12 @@
     }
   }
 
-  /** Otherwise reloads would be lost, and with them the address of the discovery service. */
+  /**
+   * A JVM started with SIGHUP ignored, as by nohup, cannot handle it. Without polling, reloads
+   * would be lost, and with them the new address of the discovery service.
+   */
   @Test
-  void fileIsPolledWhereSighupIsIgnoredAtStart() throws Exception {
+  void configurationFileIsPolledIfSighupIsIgnoredAtStart() throws Exception {
     try (FakeHttpServer first = new FakeHttpServer((request, connection, output) -> {});
         FakeHttpServer second = new FakeHttpServer((request, connection, output) -> {});
         FakeHttpServer third = new FakeHttpServer((request, connection, output) -> {})) {
@@ -131,10 +145,10 @@
       program.signal("HUP");
       TestProxy.waitUntil(
           () -> second.requests.size() == 1 && first.connectionsClosedByPeer.get() == 1);
-      Path other =
+      Path replacement =
           Files.writeString(
-              folder.resolve("other.json"), TestProxy.configurationJson(third.address(), 1));
-      Files.move(other, file, StandardCopyOption.REPLACE_EXISTING);
+              folder.resolve("replacement.json"), TestProxy.configurationJson(third.address(), 1));
+      Files.move(replacement, file, StandardCopyOption.REPLACE_EXISTING);
       TestProxy.waitUntil(
           () -> third.requests.size() == 1 && second.connectionsClosedByPeer.get() == 1);
       program.terminate();
@@ -143,23 +157,23 @@
   }
 
   @Test
-  void invalidConfigurationIsOneLogLineAndExitStatusTwo() throws Exception {
-    String good = TestProxy.configurationJson(TestProxy.unreachableAddress(), 1);
-    for (String bad :
+  void invalidConfigurationLogsOneLineAndExitsWithStatusTwo() throws Exception {
+    String valid = TestProxy.configurationJson(TestProxy.unreachableAddress(), 1);
+    for (String invalid :
         new String[] {
           null,
           "",
           "{",
           "{}",
-          good.replace("8c1f30d27a5be964", "seed"),
-          good.replace("127.0.0.1:0", "localhost:0"),
-          good.replace("127.0.0.1:0", "127.0.0.1:99999"),
-          good.replace("\"aim-ns\":2000000000", "\"aim-ns\":0"),
-          good.replace("\"sockets\":1024", "\"sockets\":0"),
-          good.replace("\"sockets\":1024", "\"sockets\":5000000000")
+          valid.replace("8c1f30d27a5be964", "seed"),
+          valid.replace("127.0.0.1:0", "localhost:0"),
+          valid.replace("127.0.0.1:0", "127.0.0.1:99999"),
+          valid.replace("\"aim-ns\":2000000000", "\"aim-ns\":0"),
+          valid.replace("\"sockets\":1024", "\"sockets\":0"),
+          valid.replace("\"sockets\":1024", "\"sockets\":5000000000")
         }) {
-      start(bad);
-      assertEquals(2, program.awaitExitStatus(), bad);
+      start(invalid);
+      assertEquals(2, program.awaitExitStatus(), invalid);
       String[] lines = program.remainingLog();
       assertEquals(1, lines.length, String.join("\n", lines));
       assertTrue(
--- a/src/test/java/loadbalancer/proxy/TestProcess.java
+++ b/src/test/java/loadbalancer/proxy/TestProcess.java
@@ -15,24 +15,35 @@
 import java.util.concurrent.TimeUnit;
 import loadbalancer.config.IpSocketAddress;
 
-/** The program as a process of its own, with its configuration file in a folder of the test. */
+/**
+ * Runs the program as a separate process. Its configuration file is in a folder of the test; its
+ * standard output and standard error are read together as its log.
+ */
 final class TestProcess implements AutoCloseable {
 
   private final Path folder;
   private Process process;
   private BufferedReader log;
 
-  /** A process that has not started. */
+  /**
+   * Creates a process without starting it.
+   *
+   * @param folder contains the configuration file and the log file
+   */
   TestProcess(Path folder) {
     this.folder = folder;
   }
 
-  /** Where the configuration file is expected. */
+  /** The path in PROXY_CONFIG; the test creates the file. */
   Path configurationFile() {
     return folder.resolve("config.json");
   }
 
-  /** Starts the program with these environment variables, a name and a value in turn. */
+  /**
+   * Starts the program.
+   *
+   * @param variables additional environment variables, alternating names and values
+   */
   void start(String... variables) throws IOException {
     ProcessBuilder builder = builder();
     for (int i = 0; i < variables.length; i += 2) {
@@ -41,12 +52,19 @@
     startAndReadLog(builder);
   }
 
-  /** Starts the program by a shell, which runs this command first. */
+  /**
+   * Starts the program from a shell, in the same process.
+   *
+   * @param command the shell command that runs first
+   */
   void startAfterShellCommand(String command) throws IOException {
     startAndReadLog(builder("sh", "-c", command + "; exec \"$0\" \"$@\""));
   }
 
-  /** The same with the log in a file, see {@link #logFileText}. */
+  /**
+   * Starts the program as {@link #startAfterShellCommand} does, but writes its log to a file; see
+   * {@link #logFileText}.
+   */
   void startAfterShellCommandLoggingToFile(String command) throws IOException {
     process =
         builder("sh", "-c", command + "; exec \"$0\" \"$@\"")
@@ -76,25 +94,28 @@
     return builder;
   }
 
-  /** Reads the log up to a line with this text, and returns that line. */
-  String awaitLog(String part) throws IOException {
+  /**
+   * Reads the log up to the next line that contains a text, and returns this line. Fails if the log
+   * ends first.
+   */
+  String awaitLog(String text) throws IOException {
     for (String line = log.readLine(); line != null; line = log.readLine()) {
-      if (line.contains(part)) {
+      if (line.contains(text)) {
         return line;
       }
     }
-    throw new AssertionError("the log never said: " + part);
+    throw new AssertionError("the log ended without a line containing: " + text);
   }
 
-  /** Waits until the program serves; the address that clients connect to. */
+  /** Waits until the program is ready and returns the address that clients connect to. */
   InetSocketAddress awaitServing() throws IOException {
-    return addressIn(awaitLog("lifecycle: serving "));
+    return parseAddress(awaitLog("lifecycle: serving "));
   }
 
-  /** The same for a program that logs to a file. */
+  /** Waits as {@link #awaitServing} does, for a program that logs to a file. */
   InetSocketAddress awaitServingInLogFile() throws InterruptedException {
     TestProxy.waitUntil(() -> logFileText().contains("lifecycle: serving "));
-    return addressIn(
+    return parseAddress(
         logFileText()
             .lines()
             .filter(line -> line.contains("lifecycle: serving "))
@@ -102,17 +123,17 @@
             .orElseThrow());
   }
 
-  private static InetSocketAddress addressIn(String line) {
+  private static InetSocketAddress parseAddress(String line) {
     return IpSocketAddress.parse(line.substring(line.indexOf(" address=") + " address=".length()))
         .orElseThrow();
   }
 
-  /** The rest of the log, up to the end of the program. */
+  /** Reads the rest of the log, until the program ends. */
   String[] remainingLog() {
     return log.lines().toArray(String[]::new);
   }
 
-  /** All of the log so far, where it goes to a file. */
+  /** The complete log so far of a program that logs to a file. */
   String logFileText() {
     try {
       return Files.readString(logFile());
@@ -125,17 +146,21 @@
     return folder.resolve("log");
   }
 
-  /** How many file descriptors the process has open. */
+  /** The number of file descriptors that the process has open. */
   int openDescriptors() {
     return Path.of("/proc", Long.toString(process.pid()), "fd").toFile().list().length;
   }
 
-  /** Whether the process still runs. */
+  /** Returns true if the process is running. */
   boolean isAlive() {
     return process.isAlive();
   }
 
-  /** Sends a signal, named without SIG. */
+  /**
+   * Sends a signal to the process.
+   *
+   * @param name the name of the signal without SIG
+   */
   void signal(String name) throws IOException, InterruptedException {
     assertEquals(
         0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
@@ -146,13 +171,13 @@
     process.destroy();
   }
 
-  /** Waits for the end of the process; its exit status. */
+  /** Waits until the process ends and returns its exit status; fails after 60 s. */
   int awaitExitStatus() throws InterruptedException {
-    assertTrue(process.waitFor(60, TimeUnit.SECONDS), "the program ended");
+    assertTrue(process.waitFor(60, TimeUnit.SECONDS), "the program did not end within 60 s");
     return process.exitValue();
   }
 
-  /** Kills the process, if it was started. */
+  /** Kills the process if it was started. */
   @Override
   public void close() {
     if (process != null) {
--- a/src/test/java/loadbalancer/proxy/TestProxy.java
+++ b/src/test/java/loadbalancer/proxy/TestProxy.java
@@ -13,24 +13,35 @@
 import loadbalancer.config.ProxyConfiguration;
 import loadbalancer.proxy.lifecycle.ProxyServer;
 
-/** A proxy server inside the test process, started with settings fit for tests. */
+/** Runs a proxy server inside the test process, and helps tests with configuration and waits. */
 public final class TestProxy {
 
-  private static final long WAIT_LIMIT_NANOS = 30_000_000_000L;
+  /** Far above any normal wait; reached only if the code under test hangs. */
+  private static final long MAX_WAIT_NANOS = 30_000_000_000L;
 
   /** The address that clients connect to. */
   public final InetSocketAddress address;
 
-  /** The server itself. */
+  /** The proxy server under test. */
   final ProxyServer server;
 
-  /** Starts a proxy that knows these upstreams and returns once it reports that it is ready. */
+  /**
+   * Starts a proxy and returns once it reports that it is ready.
+   *
+   * @param discovery the address of the discovery service
+   * @param maxAttempts the setting {@code max-attempts}
+   * @param upstreams the endpoints of the configured endpoint list
+   */
   public TestProxy(InetSocketAddress discovery, int maxAttempts, FakeHttpServer... upstreams)
       throws Exception {
     this(configurationJson(discovery, maxAttempts, upstreams));
   }
 
-  /** Starts a proxy with this configuration and returns once it reports that it is ready. */
+  /**
+   * Starts a proxy and returns once it reports that it is ready.
+   *
+   * @param configuration the configuration file's JSON text
+   */
   public TestProxy(String configuration) throws Exception {
     JsonObjectReader fields = JsonObjectReader.parse("configuration", configuration);
     server =
@@ -56,12 +67,17 @@
     }
   }
 
-  /** The configuration of a proxy whose endpoint list names these upstreams s-0, s-1, ... */
+  /**
+   * The JSON text of a configuration file with the request classes "look" (idempotent) and "order"
+   * (deduplicated in a cell).
+   *
+   * @param upstreams the endpoints of the configured endpoint list, with the names s-0, s-1, ...
+   */
   public static String configurationJson(
       InetSocketAddress discovery, int maxAttempts, FakeHttpServer... upstreams) {
-    StringBuilder known = new StringBuilder();
+    StringBuilder endpoints = new StringBuilder();
     for (int i = 0; i < upstreams.length; i++) {
-      known
+      endpoints
           .append(i == 0 ? "" : ",")
           .append(endpointJson("s-" + i, upstreams[i].address(), "in_service"));
     }
@@ -79,10 +95,10 @@
   "contract":{"drain-grace-ns":2000000000,"answer-slack-ns":8000000,"cold-from":0.3,
    "overload-for-ns":3000000000,"fall-multiple":3.0}}}
 """
-        .formatted(hostAndPort(discovery), known, maxAttempts);
+        .formatted(hostAndPort(discovery), endpoints, maxAttempts);
   }
 
-  /** One entry of an endpoint list in the form of the discovery service. */
+  /** The JSON text of one entry of an endpoint list, as the discovery service sends it. */
   public static String endpointJson(String name, InetSocketAddress address, String status) {
     return "{\"name\":\""
         + name
@@ -94,28 +110,28 @@
         + "\",\"weight\":1.0,\"since_ms\":0}";
   }
 
-  /** An address as the configuration writes it: ADDRESS:PORT. */
+  /** Formats an address as in the configuration file: ADDRESS:PORT. */
   static String hostAndPort(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  /** An address on which nothing listens. */
+  /** An address that refuses connections: nothing listens on port 1. */
   public static InetSocketAddress unreachableAddress() {
     return new InetSocketAddress(java.net.InetAddress.getLoopbackAddress(), 1);
   }
 
-  /** Waits for a condition; fails the test after 30 s, which only a hang reaches. */
+  /** Waits until a condition holds; fails the test after 30 s. */
   public static void waitUntil(BooleanSupplier condition) throws InterruptedException {
-    long deadlineNanos = System.nanoTime() + WAIT_LIMIT_NANOS;
+    long deadlineNanos = System.nanoTime() + MAX_WAIT_NANOS;
     while (!condition.getAsBoolean() && System.nanoTime() < deadlineNanos) {
       Thread.sleep(5);
     }
-    assertTrue(condition.getAsBoolean(), "the awaited condition did not hold in time");
+    assertTrue(condition.getAsBoolean(), "the awaited condition did not hold within 30 s");
   }
 
   /**
-   * Blocks an event loop until the latch is released. Returns once the loop's thread has entered
-   * the wait: a loop that is only about to enter it still reads what its sockets receive meanwhile.
+   * Blocks an event loop until the latch is released. Returns once the loop's thread executes the
+   * blocking task; before that, the loop could still read data that its sockets receive.
    */
   static void block(Executor loop, CountDownLatch release) throws InterruptedException {
     CountDownLatch entered = new CountDownLatch(1);
@@ -125,10 +141,14 @@
           awaitUninterruptibly(release);
         });
     assertTrue(
-        entered.await(WAIT_LIMIT_NANOS, TimeUnit.NANOSECONDS), "the event loop did not block");
+        entered.await(MAX_WAIT_NANOS, TimeUnit.NANOSECONDS),
+        "the event loop did not run the blocking task within 30 s");
   }
 
-  /** Waits for a latch, as a task that blocks an event loop does; an interrupt ends the wait. */
+  /**
+   * Waits for a latch, in tasks that must not throw a checked exception. If interrupted, returns
+   * early and sets the interrupt status.
+   */
   static void awaitUninterruptibly(CountDownLatch latch) {
     try {
       latch.await();
