--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
@@ -91,11 +91,11 @@
             loop,
             WatchTarget.of(configuration.discovery(), configuration.known().version()),
             WatchTimeouts.PROTOCOL,
-            new CoordinatorUpdates());
+            new DiscoveryEventForwarder());
   }
 
   /** Forwards discovery events to the coordinator, on the event loop. */
-  private final class CoordinatorUpdates implements DiscoveryListener {
+  private final class DiscoveryEventForwarder implements DiscoveryListener {
 
     @Override
     public void endpointListReceived(EndpointList list) {
--- a/src/test/java/loadbalancer/proxy/TestProxy.java
+++ b/src/test/java/loadbalancer/proxy/TestProxy.java
@@ -138,7 +138,7 @@
     loop.execute(
         () -> {
           entered.countDown();
-          awaitUninterruptibly(release);
+          awaitLatch(release);
         });
     assertTrue(
         entered.await(MAX_WAIT_NANOS, TimeUnit.NANOSECONDS),
@@ -149,7 +149,7 @@
    * Waits for a latch, in tasks that must not throw a checked exception. If interrupted, returns
    * early and sets the interrupt status.
    */
-  static void awaitUninterruptibly(CountDownLatch latch) {
+  static void awaitLatch(CountDownLatch latch) {
     try {
       latch.await();
     } catch (InterruptedException e) {
