--- a/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Updates {@link #lastVersion} and returns whether it changed. A missing file does not count as a
-   * change, since it is being replaced.
+   * Updates {@link #lastVersion} and returns whether it changed. A file that cannot be accessed
+   * does not count as a change: it is missing while it is being replaced.
    */
   private boolean detectChange() {
     FileVersion previous = lastVersion;
@@ -95,7 +95,7 @@
       lastVersion =
           new FileVersion(attributes.fileKey(), attributes.lastModifiedTime(), attributes.size());
       return !lastVersion.equals(previous);
-    } catch (IOException fileMissing) {
+    } catch (IOException inaccessible) {
       return false;
     }
   }
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyProcess.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyProcess.java
@@ -6,8 +6,9 @@
 import loadbalancer.config.ProxyConfiguration;
 
 /**
- * Runs a proxy server as the process: maps environment variables, signals and exit statuses. The
- * methods must be called on the main thread.
+ * Runs a proxy server as the program's process, which is configured by environment variables and
+ * controlled by signals, and reports its exit status. The methods must be called on the main
+ * thread.
  */
 public final class ProxyProcess {
 
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUp.java
@@ -47,7 +47,8 @@
 
   /**
    * Ends the warm-up of a proxy that cannot connect to itself, since clients arrive after 30 s in
-   * any case. The limit is not shorter because compilation takes long on a fraction of a core.
+   * any case. Slow progress does not end the warm-up earlier, because on a fraction of a core the
+   * code is compiled late.
    */
   private static final long MAX_DURATION_NANOS = 20_000_000_000L;
 
@@ -97,7 +98,10 @@
     downstream = new DownstreamServer(loop, requests.settings(), coordinator, CONCURRENT_CLIENTS);
   }
 
-  /** Returns a random path. Clients must not guess it, since requests to it are not validated. */
+  /**
+   * Returns a random path. Clients must be unable to guess it, since requests to it get a response
+   * without being validated.
+   */
   static String newPath() {
     return "/" + UUID.randomUUID();
   }
