--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
@@ -121,7 +121,7 @@
     loop.execute(
         () -> {
           coordinator.start(configuration.cachedEndpointList(), discovery::watch);
-          // Whatever list mode the settings name: on sockets a list comes by a watch only.
+          // The proxy receives endpoint lists only through a watch, whatever registry-mode says.
           discovery.watch(true);
           new WarmUp(
                   loop,
