--- a/src/main/java/loadbalancer/policy/RequestLifecycle.java
+++ b/src/main/java/loadbalancer/policy/RequestLifecycle.java
@@ -109,7 +109,7 @@
     actions.accept(new RejectRequest(request.requestId(), retryAfterNanos()));
   }
 
-  /** Returns a random delay, so that rejected clients do not all retry at the same time. */
+  /** A random delay, so that rejected clients do not all retry at the same time. */
   private long retryAfterNanos() {
     return settings.limits().retryAfter()
         ? random.nextLong(settings.limits().maxRetryAfterNanos() + 1)
@@ -187,10 +187,11 @@
 
   private void forward(
       PendingRequest pending, Endpoint endpoint, long nowNanos, Consumer<Action> actions) {
-    double chargedNanos = components.inFlightTime.charge(endpoint, pending.load, nowNanos);
-    pending.attempts.add(new Attempt(endpoint, nowNanos, chargedNanos));
+    double expectedLatencyNanos =
+        components.inFlightTime.attemptStarted(endpoint, pending.load, nowNanos);
+    pending.attempts.add(new Attempt(endpoint, nowNanos, expectedLatencyNanos));
     pending.inFlight++;
-    components.outlierDetector.beforeAttempt(endpoint, nowNanos);
+    components.outlierDetector.attemptStarted(endpoint, nowNanos);
     components.registry.attemptStarted(endpoint, pending.load);
     components.slowStart.attemptStarted(endpoint, pending.load, nowNanos);
     long timeoutNanos = pending.request.deadlineNanos() - nowNanos;
@@ -210,7 +211,7 @@
     pending.inFlight--;
     components.registry.attemptCompleted(attempt.endpoint, pending.load);
     components.outlierDetector.attemptCompleted(attempt.endpoint, nowNanos);
-    components.inFlightTime.settle(attempt, pending.requestClass, completed, nowNanos);
+    components.inFlightTime.attemptCompleted(attempt, pending.requestClass, completed, nowNanos);
     components.recorder.record(pending, attempt, completed, nowNanos);
     completeOrRetry(completed, pending, nowNanos, actions);
     forwardQueued(nowNanos, actions);
@@ -251,7 +252,7 @@
     sweepTimer.schedule(Math.max(nowNanos + MIN_SWEEP_DELAY_NANOS, nextNanos), actions);
   }
 
-  /** Returns when a request in flight expires: after its deadline, within the response slack. */
+  /** When a request in flight expires: after its deadline, within the response slack. */
   private long expiryNanos(PendingRequest pending) {
     return pending.request.deadlineNanos() + settings.serviceRules().responseSlackNanos() / 2;
   }
@@ -283,12 +284,12 @@
     }
   }
 
-  /** Returns the number of requests without a final response or with an attempt in flight. */
+  /** The number of requests without a final response or with an attempt in flight. */
   int pendingRequests() {
     return pendingRequests.size();
   }
 
-  /** Returns the number of requests that wait for an endpoint with capacity. */
+  /** The number of requests that wait for an endpoint with capacity. */
   int queuedRequests() {
     return queue.size();
   }
--- a/src/main/java/loadbalancer/policy/ResponseStatistics.java
+++ b/src/main/java/loadbalancer/policy/ResponseStatistics.java
@@ -4,8 +4,11 @@
 
 /**
  * Latencies, latency objectives and local delays of an endpoint's served attempts, over a sliding
- * window. The local delay of an attempt is the time that it waited in this process. {@link
- * ConcurrencyLimit} and {@link OutlierDetector} use these statistics.
+ * window. {@link ConcurrencyLimit} and {@link OutlierDetector} use these statistics.
+ *
+ * <p>The local delay of an attempt is the time that it waited in this process: the time from the
+ * decision to forward it until its completion is handled, less its latency. The endpoint does not
+ * cause it.
  */
 final class ResponseStatistics {
   private static final double NANOS_PER_SECOND = 1e9;
@@ -21,8 +24,8 @@
   /**
    * Adds a served attempt.
    *
-   * @param latencyNanos the time from forwarding the attempt to its response
-   * @param localDelayNanos the time that the attempt waited in this process
+   * @param latencyNanos the attempt's latency, without the local delay
+   * @param localDelayNanos the attempt's local delay
    */
   void record(PendingRequest pending, long latencyNanos, long localDelayNanos, long nowNanos) {
     if (firstServedNanos == 0) {
@@ -38,32 +41,32 @@
     window.add(nowNanos, Metric.LOCAL_DELAY, load * localDelayNanos);
   }
 
-  /** Returns when the endpoint first served an attempt; 0 if it never did. */
+  /** When the endpoint first served an attempt; 0 if it never did. */
   long firstServedNanos() {
     return firstServedNanos;
   }
 
-  /** Returns the number of attempts served in the last window. */
+  /** The number of attempts served in the last window. */
   double served(long nowNanos) {
     return window.total(nowNanos, Metric.SAMPLES);
   }
 
-  /** Returns the sum of the served attempts' latency objectives in seconds, weighted by load. */
+  /** The sum of the served attempts' latency objectives in seconds, weighted by load. */
   double objectiveSeconds(long nowNanos) {
     return window.total(nowNanos, Metric.OBJECTIVE);
   }
 
-  /** Returns the sum of the served attempts' local delays, weighted by load. */
+  /** The sum of the served attempts' local delays, weighted by load. */
   double localDelayNanos(long nowNanos) {
     return window.total(nowNanos, Metric.LOCAL_DELAY);
   }
 
-  /** Returns the mean of load times latency over the served attempts; 0 without any. */
+  /** The mean of load times latency over the served attempts; 0 without any. */
   double meanLatencyNanos(long nowNanos) {
     return window.mean(nowNanos, 1);
   }
 
-  /** Returns the mean of load times local delay over the served attempts; 0 without any. */
+  /** The mean of load times local delay over the served attempts; 0 without any. */
   double meanLocalDelayNanos(long nowNanos) {
     return localDelayNanos(nowNanos) / Math.max(1, served(nowNanos));
   }
--- a/src/main/java/loadbalancer/policy/TrafficStatistics.java
+++ b/src/main/java/loadbalancer/policy/TrafficStatistics.java
@@ -7,10 +7,10 @@
 import loadbalancer.policy.event.RequestArrived;
 
 /**
- * The traffic of this balancer, counted in sliding windows: one for each key, one for each class
- * and tenant, one each for all requests within and over quota, and one for the whole fleet.
- * Latencies are in multiples of the request's latency objective, so that classes can share a
- * window.
+ * The traffic of this balancer, counted in sliding windows: one for each class, tenant and affinity
+ * key, one for each class and tenant, one each for all requests within and over quota, and one for
+ * the whole fleet. Latencies are in multiples of the request's latency objective, so that classes
+ * can share a window.
  *
  * <p>{@link AdmissionController} decides by these windows. The retry budget, hedging, slow start
  * and placement use the totals.
@@ -56,7 +56,7 @@
   TrafficWindows windowsOf(RequestArrived request, boolean isOverQuota, long nowNanos) {
     String name = request.className() + ' ' + request.tenant() + (isOverQuota ? " over" : "");
     SlidingWindow classAndTenant = windowNamed(name, nowNanos);
-    SlidingWindow key = windowNamed(name + ' ' + request.key(), nowNanos);
+    SlidingWindow key = windowNamed(name + ' ' + request.affinityKey(), nowNanos);
     return new TrafficWindows(
         isOverQuota, isOverQuota ? overQuota : withinQuota, classAndTenant, key);
   }
@@ -91,27 +91,27 @@
     count(requestWindows, Metric.LATENCY, latencyInObjectives, nowNanos);
   }
 
-  /** Returns the total of a metric over the last window of all traffic. */
+  /** The total of a metric over the last window of all traffic. */
   double fleetTotal(Metric metric, long nowNanos) {
     return fleet.total(nowNanos, metric);
   }
 
-  /** Returns the mean latency of all traffic, in latency objectives; 0 without samples. */
+  /** The mean latency of all traffic, in latency objectives; 0 without samples. */
   double fleetMean(long nowNanos) {
     return fleet.mean(nowNanos, MIN_SAMPLES);
   }
 
-  /** Returns whether the mean latency of all traffic is low enough to admit all requests. */
+  /** Whether the mean latency of all traffic is low enough to admit all requests. */
   boolean isFleetHealthy(long nowNanos) {
     return fleetMean(nowNanos) <= LatencyRateLimiter.HEALTHY_LATENCY_IN_OBJECTIVES;
   }
 
-  /** Returns the length of each sliding window. */
+  /** The length of each sliding window. */
   long windowNanos() {
     return windowNanos;
   }
 
-  /** Returns the number of windows of keys and of classes and tenants. */
+  /** The number of windows of keys and of classes and tenants. */
   int trackedWindows() {
     return windows.size();
   }
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
@@ -72,7 +72,7 @@
             new ConnectionLimits(
                 settings.limits().connectTimeoutNanos(),
                 settings.limits().connectionIdleTimeoutNanos(),
-                (int) (configuration.sockets() * UPSTREAM_SOCKETS_FRACTION)));
+                (int) (configuration.maxFileDescriptors() * UPSTREAM_SOCKETS_FRACTION)));
     coordinator =
         new RequestCoordinator(
             settings,
@@ -84,12 +84,12 @@
             loop,
             settings,
             coordinator,
-            (int) (configuration.sockets() * DOWNSTREAM_SOCKETS_FRACTION));
+            (int) (configuration.maxFileDescriptors() * DOWNSTREAM_SOCKETS_FRACTION));
     downstream.setWarmUpPath(warmUpPath);
     discovery =
         new DiscoveryClient(
             loop,
-            WatchTarget.of(configuration.discovery(), configuration.known().version()),
+            WatchTarget.of(configuration.discovery(), configuration.cachedEndpointList().version()),
             WatchTimeouts.PROTOCOL,
             new DiscoveryEventForwarder());
   }
@@ -120,7 +120,7 @@
     InetSocketAddress address = downstream.listen(configuration.listen());
     loop.execute(
         () -> {
-          coordinator.start(configuration.known(), discovery::watch);
+          coordinator.start(configuration.cachedEndpointList(), discovery::watch);
           // The proxy receives endpoint lists only through a watch, whatever registry-mode says.
           discovery.watch(true);
           new WarmUp(
