--- a/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
@@ -19,13 +19,14 @@
 import loadbalancer.proxy.coordinator.DownstreamClient;
 import loadbalancer.proxy.http.ClientRequest;
 import loadbalancer.proxy.http.InvalidRequestException;
+import loadbalancer.proxy.http.RequestHeaders;
 import loadbalancer.proxy.http.UpstreamResponse;
 import loadbalancer.proxy.telemetry.EventLog;
 import loadbalancer.proxy.transport.RawBytesFilter;
 
 /**
- * One client connection: receives one request at a time, submits it to the coordinator and writes
- * its response. Belongs to the event loop: all methods are to be called on its thread.
+ * Handles one client connection: receives one request at a time, submits it to the coordinator and
+ * writes the response. Not thread-safe: all methods must be called on the event loop.
  */
 public final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
     implements DownstreamClient, RawBytesFilter {
@@ -38,13 +39,13 @@
   private ChannelHandlerContext context;
   private ConnectionState state = ConnectionState.AWAITING_REQUEST;
 
-  /** The id of the request in flight, if the state has one. */
+  /** The id of the request in flight; stale or null if there is none. */
   private String requestInFlightId;
 
-  /** Whether the connection may stay open after the response to the last complete request. */
+  /** Whether the connection may stay open after the next response. */
   private boolean isKeepAlive;
 
-  /** Makes the handler of a connection to this server. */
+  /** Creates the handler of a connection that the given server has accepted. */
   public ClientConnection(DownstreamServer server) {
     this.server = server;
   }
@@ -54,57 +55,63 @@
     context = handlerContext;
   }
 
-  /** Whether the connection is between two requests, with no byte of the next one received. */
+  /** Returns whether the connection awaits a request, no byte of which has been received. */
   public boolean isIdle() {
     return isAwaitingRequest() && !times.hasRequestStarted();
   }
 
-  /** Whether no complete request is in flight and the connection is not closing. */
+  /**
+   * Returns whether the connection can receive a request, part of which may have arrived: no
+   * request is in flight and the connection is not closing.
+   */
   public boolean isAwaitingRequest() {
     return state == ConnectionState.AWAITING_REQUEST;
   }
 
-  /** Whether the connection awaits its first request, which may have started. */
-  boolean isNeverUsed() {
+  /** Returns whether the connection awaits its first request, part of which may have arrived. */
+  boolean isAwaitingFirstRequest() {
     return isAwaitingRequest() && !times.hasResponded();
   }
 
-  /** Whether the connection is idle and has had a response. */
-  boolean isIdleAfterUse() {
+  /** Returns whether the connection is idle and at least one response has been written to it. */
+  boolean isIdleAfterResponse() {
     return isIdle() && times.hasResponded();
   }
 
-  /** When the connection last received, responded and stalled. */
+  /** Returns the timestamps from which the time limits are computed. */
   ConnectionTimes times() {
     return times;
   }
 
   /**
-   * Time in nanoseconds for which an incomplete request has been received, counted from the connect
-   * for the first one; 0 where none is.
+   * Returns how long an incomplete request has been arriving, in nanoseconds: since the connect for
+   * the first request, since its first byte for a later one. Returns 0 if no request has started.
    */
   long receivingNanos(long nowNanos) {
-    return isAwaitingRequest() ? times.requestNanos(nowNanos) : 0;
+    return isAwaitingRequest() ? times.requestAgeNanos(nowNanos) : 0;
   }
 
-  /** Rejects a request that was not completed in time, and closes the connection. */
-  void expire() {
-    rejectInput(HttpResponseStatus.REQUEST_TIMEOUT, "the request took too long");
+  /** Responds 408 to a request that has not arrived completely, and closes the connection. */
+  void rejectIncompleteRequest() {
+    rejectInput(HttpResponseStatus.REQUEST_TIMEOUT, "complete request not received in time");
   }
 
-  /** Closes at once, without waiting for what is still to be written. */
+  /** Closes the connection immediately; pending writes are dropped. */
   void abort() {
     context.close();
   }
 
-  /** Closes once all that was written has gone out, so that no response is cut short. */
+  /** Closes the connection after all pending writes, so that no response is truncated. */
   void closeAfterWrites() {
-    // No longer idle, so that it is not selected for closing again while it closes.
+    // Leaves the idle state, so that the connection is not selected for closing a second time.
     state = state.discardingInput();
     context.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
   }
 
-  /** Passes on the bytes of a request, and discards what follows a request in flight. */
+  /**
+   * Accepts the bytes of the next request. Counts and discards bytes that arrive while a request is
+   * in flight or the connection is closing.
+   */
   @Override
   public boolean accepts(ByteBuf bytes) {
     if (isAwaitingRequest()) {
@@ -116,8 +123,8 @@
   }
 
   /**
-   * Whether the client of the request in flight is still connected. Reads ahead in the socket,
-   * since a disconnect lies behind all other unread input, and discards that input.
+   * Returns whether the client of the request in flight is still connected. The end of the stream
+   * can be seen only after all preceding input, so this reads and discards what the socket holds.
    */
   @Override
   public boolean isConnected() {
@@ -125,8 +132,10 @@
     if (discarded > 0) {
       discard(discarded);
     } else if (discarded < 0) {
-      // This result notifies the caller. A notification when the close is read would come too late:
-      // another connection may have submitted a request with the same id by then.
+      // The return value reports the disconnect to the coordinator. A notification in
+      // channelInactive would come too late: by then another connection may have submitted a
+      // request
+      // with the same id, and the notification would cancel that one.
       state = state.afterRequest();
       abort();
     }
@@ -137,9 +146,12 @@
     state = state.discardingInput();
     isKeepAlive = false;
     discardedInput.add(bytes);
-    if (discardedInput.isFlood() && state.hasRequestInFlight()) {
+    if (discardedInput.exceedsLimit() && state.hasRequestInFlight()) {
       String requestId = requestInFlightId;
-      respond(ResponseFactory.clientError(HttpResponseStatus.BAD_REQUEST, "more than a request"));
+      respond(
+          ResponseFactory.clientError(
+              HttpResponseStatus.BAD_REQUEST,
+              "more than 64 KiB received between a request and its response"));
       server.clientDisconnected(requestId);
     }
   }
@@ -159,7 +171,8 @@
 
   private void receive(HttpObject message) throws InvalidRequestException, IOException {
     if (message.decoderResult().isFailure()) {
-      throw new InvalidRequestException(HttpResponseStatus.BAD_REQUEST.code(), "malformed request");
+      throw new InvalidRequestException(
+          HttpResponseStatus.BAD_REQUEST.code(), "malformed HTTP/1.1 request");
     }
     if (message instanceof HttpRequest head) {
       startRequest(head);
@@ -173,7 +186,8 @@
 
   private void startRequest(HttpRequest head) throws InvalidRequestException {
     if (state.hasRequestInFlight()) {
-      // Pipelining: the request in flight keeps its response, and the connection closes after it.
+      // Pipelining is not supported: the request in flight still gets its response, after which the
+      // connection closes. The pipelined request is discarded.
       isKeepAlive = false;
       state = state.discardingInput();
       return;
@@ -194,7 +208,8 @@
       submit(server.requestParser().parse(head, assembler.body()));
       updateAutoRead();
     } catch (InvalidRequestException e) {
-      // A response to HEAD has no body: the client would read it as the next response.
+      // A response to HEAD must have no body: the client would take one for the start of the next
+      // response.
       String explanation = head.method().equals(HttpMethod.HEAD) ? "" : e.getMessage();
       respond(ResponseFactory.clientError(HttpResponseStatus.valueOf(e.status()), explanation));
       readPenalty.start(context.executor(), this::updateAutoRead);
@@ -208,13 +223,15 @@
     if (!server.submit(request, this)) {
       state = state.afterRequest();
       throw new InvalidRequestException(
-          HttpResponseStatus.CONFLICT.code(), "this id is open already");
+          HttpResponseStatus.CONFLICT.code(),
+          RequestHeaders.CORRELATION_ID + ": a request with this id is in flight");
     }
   }
 
   /**
-   * Rejects input that breaks the protocol and reads no further request. A request in flight keeps
-   * its own response, which is then the last one.
+   * Rejects invalid or incomplete input and stops receiving requests; the connection closes after
+   * its last response. A request in flight still gets its own response, in which case the status
+   * given here is not sent.
    */
   private void rejectInput(HttpResponseStatus status, String explanation) {
     isKeepAlive = false;
@@ -226,8 +243,8 @@
   }
 
   /**
-   * Reads while a request may be received. With a request in flight the connection is always read,
-   * since only reading shows that its client has disconnected.
+   * Enables reading while a request may be received. While a request is in flight, the connection
+   * is always read, because a client's disconnect is detected only by reading.
    */
   private void updateAutoRead() {
     boolean mayReceive =
@@ -235,7 +252,7 @@
     context.channel().config().setAutoRead(state.hasRequestInFlight() || mayReceive);
   }
 
-  /** Reads no request from a client that does not read its responses. */
+  /** Stops receiving requests from a client that does not read its responses. */
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext handlerContext) {
     times.writabilityChanged(handlerContext.channel().isWritable());
--- a/src/main/java/loadbalancer/proxy/downstream/ClientRequestParser.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientRequestParser.java
@@ -15,17 +15,26 @@
 import loadbalancer.proxy.http.RequestHeaders;
 import loadbalancer.proxy.http.RequestMessage;
 
-/** Parses a complete HTTP request of a client and checks it against the protocol and settings. */
+/**
+ * Parses a client's complete HTTP request and checks it against the protocol and the policy
+ * settings. Error messages name the header at fault but never repeat its value, which may be long.
+ */
 final class ClientRequestParser {
 
-  /** The largest number that a header may hold; a larger one makes the request invalid. */
+  /** The largest value of a numeric header; a larger one makes the request invalid. */
   private static final long MAX_HEADER_NUMBER = 1_000_000_000_000L;
 
-  /** What a larger number is taken for, so that no conversion to nanoseconds overflows. */
-  private static final long MAX_NUMBER_USED = 1_000_000_000L;
+  /**
+   * Larger valid values are clamped to this one, so that their conversion to nanoseconds cannot
+   * overflow.
+   */
+  private static final long MAX_EFFECTIVE_NUMBER = 1_000_000_000L;
 
-  /** The headers that identify a request: with two of one, readers could use different ones. */
-  private static final List<String> SINGLE_HEADERS =
+  /**
+   * Headers that may occur only once: if one were repeated, the proxy and an upstream could use
+   * different values.
+   */
+  private static final List<String> NON_REPEATABLE_HEADERS =
       List.of(
           RequestHeaders.CORRELATION_ID,
           RequestHeaders.SERVICE_CLASS,
@@ -40,9 +49,9 @@
   private final PolicySettings settings;
 
   /**
-   * Makes a parser.
+   * Creates a parser.
    *
-   * @param settings the request classes and tenants that requests may name
+   * @param settings defines the request classes and tenants that requests may name
    */
   ClientRequestParser(PolicySettings settings) {
     this.settings = settings;
@@ -53,12 +62,12 @@
    *
    * @param head the request line and headers
    * @param body the complete body
-   * @throws InvalidRequestException if the request breaks the protocol or names an unknown class or
-   *     tenant
+   * @throws InvalidRequestException if the request violates the protocol or names an unknown
+   *     request class or tenant
    */
   ClientRequest parse(HttpRequest head, byte[] body) throws InvalidRequestException {
     HttpHeaders headers = head.headers();
-    checkSingleHeaders(headers);
+    checkNonRepeatableHeaders(headers);
     RequestClass requestClass = requestClass(headers);
     checkPath(head.uri(), requestClass);
     String tenant = tenant(headers);
@@ -83,10 +92,11 @@
             body));
   }
 
-  private static void checkSingleHeaders(HttpHeaders headers) throws InvalidRequestException {
-    for (String name : SINGLE_HEADERS) {
+  private static void checkNonRepeatableHeaders(HttpHeaders headers)
+      throws InvalidRequestException {
+    for (String name : NON_REPEATABLE_HEADERS) {
       if (headers.getAll(name).size() > 1) {
-        throw badRequest("repeated " + name);
+        throw badRequest(name + ": must occur at most once");
       }
     }
   }
@@ -96,7 +106,7 @@
     return settings.requestClasses().stream()
         .filter(candidate -> candidate.name().equals(name))
         .findFirst()
-        .orElseThrow(() -> badRequest("unknown class"));
+        .orElseThrow(() -> badRequest(RequestHeaders.SERVICE_CLASS + ": unknown request class"));
   }
 
   private static void checkPath(String uri, RequestClass requestClass)
@@ -104,7 +114,7 @@
     String path = uri.split("\\?", 2)[0];
     String classPath = "/" + requestClass.name();
     if (!path.equals(classPath) && !path.startsWith(classPath + "/")) {
-      throw badRequest("the path does not begin with the class");
+      throw badRequest("path: must be " + classPath + " or start with " + classPath + "/");
     }
   }
 
@@ -112,7 +122,7 @@
     String name = headers.get(RequestHeaders.ACCOUNT);
     if (!settings.tenants().isEmpty()
         && settings.tenants().stream().noneMatch(tenant -> tenant.name().equals(name))) {
-      throw badRequest("unknown tenant");
+      throw badRequest(RequestHeaders.ACCOUNT + ": must name a known tenant");
     }
     return name;
   }
@@ -120,18 +130,21 @@
   private static void checkMethod(HttpMethod method, RequestClass requestClass)
       throws InvalidRequestException {
     boolean idempotent = requestClass.effect() == RequestEffect.IDEMPOTENT;
-    if (!method.equals(idempotent ? HttpMethod.GET : HttpMethod.POST)) {
+    HttpMethod expected = idempotent ? HttpMethod.GET : HttpMethod.POST;
+    if (!method.equals(expected)) {
       throw new InvalidRequestException(
-          HttpResponseStatus.METHOD_NOT_ALLOWED.code(), "wrong method for the class");
+          HttpResponseStatus.METHOD_NOT_ALLOWED.code(),
+          "method: must be " + expected + " for request class " + requestClass.name());
     }
   }
 
-  /** The idempotency key, or null for a class that needs none. */
+  /** Returns the idempotency key; null if there is none and the request class needs none. */
   private static String idempotencyKey(HttpHeaders headers, RequestClass requestClass)
       throws InvalidRequestException {
     String key = headers.get(RequestHeaders.IDEMPOTENCY_KEY);
     if (requestClass.effect() == RequestEffect.IDEMPOTENT_WITH_KEY && key == null) {
-      throw badRequest("no " + RequestHeaders.IDEMPOTENCY_KEY);
+      throw badRequest(
+          RequestHeaders.IDEMPOTENCY_KEY + ": required for request class " + requestClass.name());
     }
     return key;
   }
@@ -149,7 +162,7 @@
   private static String required(HttpHeaders headers, String name) throws InvalidRequestException {
     String value = headers.get(name);
     if (value == null || value.isEmpty()) {
-      throw badRequest("no " + name);
+      throw badRequest(name + ": must be present and not empty");
     }
     return value;
   }
@@ -158,12 +171,12 @@
     try {
       long value = Long.parseLong(text);
       if (value >= 0 && value <= MAX_HEADER_NUMBER) {
-        return Math.min(value, MAX_NUMBER_USED);
+        return Math.min(value, MAX_EFFECTIVE_NUMBER);
       }
     } catch (NumberFormatException e) {
-      // A number out of range gets the same response, below.
+      // Reported below, with the same message as a number out of range.
     }
-    throw badRequest("bad " + name);
+    throw badRequest(name + ": must be a whole number from 0 to " + MAX_HEADER_NUMBER);
   }
 
   private static InvalidRequestException badRequest(String message) {
--- a/src/main/java/loadbalancer/proxy/downstream/ConnectionListener.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ConnectionListener.java
@@ -11,23 +11,26 @@
 import loadbalancer.proxy.transport.PeekableServerSocketChannel;
 
 /**
- * The listening socket: accepts client connections, and can pause accepting. All methods but {@link
- * #bind} are to be called on the event loop.
+ * The listening socket for client connections; accepting can be paused and resumed. Not
+ * thread-safe: all methods except {@link #bind} must be called on the event loop.
  */
 final class ConnectionListener {
 
-  /** Connections that the kernel holds until they are accepted. */
+  /** The maximum number of connections that the kernel queues until they are accepted. */
   private static final int BACKLOG_CONNECTIONS = 1024;
 
   /**
-   * Small reads, and few before the next connection's turn, bound how long a client that sends
-   * without pause delays the others.
+   * Reads are small, and few are made before the event loop turns to the next connection. This
+   * bounds how long a client that sends continuously delays the others.
    */
   private static final int READ_BYTES = 4096;
 
   private static final int MAX_READS_PER_TURN = 2;
 
-  /** Each connection is counted before the next one is accepted, so the limit is kept exactly. */
+  /**
+   * One connection at a time, so that each is counted before the next is accepted and the
+   * connection limit is never exceeded.
+   */
   private static final int MAX_ACCEPTS_PER_TURN = 1;
 
   private final EventLoop loop;
@@ -35,15 +38,16 @@
   /** Null until bound. */
   private Channel channel;
 
-  /** Makes a listener whose connections are served by this loop. */
+  /** Creates a listener; the given loop accepts its connections and serves them. */
   ConnectionListener(EventLoop loop) {
     this.loop = loop;
   }
 
   /**
-   * Binds and starts accepting; waits for the bind, so it must not be called on the event loop.
+   * Binds the socket and starts accepting connections. Blocks until the socket is bound, so it must
+   * not be called on the event loop.
    *
-   * @param address the address to listen at; port 0 for any free port
+   * @param address the address to listen on; port 0 selects any free port
    * @param connectionInitializer sets up the pipeline of each accepted connection, on the event
    *     loop
    * @return the bound address
@@ -77,12 +81,12 @@
     return (InetSocketAddress) channel.localAddress();
   }
 
-  /** Accepts nothing until {@link #resumeAccepting}; new connections wait in the backlog. */
+  /** Stops accepting until {@link #resumeAccepting}; new connections wait in the backlog. */
   void pauseAccepting() {
     channel.config().setAutoRead(false);
   }
 
-  /** Accepts again; does nothing where the listener is not bound or has been closed. */
+  /** Resumes accepting; does nothing if the listener is not bound or has been closed. */
   void resumeAccepting() {
     if (channel != null && channel.isOpen()) {
       channel.config().setAutoRead(true);
--- a/src/main/java/loadbalancer/proxy/downstream/ConnectionState.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ConnectionState.java
@@ -1,30 +1,30 @@
 package loadbalancer.proxy.downstream;
 
-/** What a client connection is doing, and what becomes of its further input. */
+/** The state of a client connection, which decides how further input is treated. */
 enum ConnectionState {
-  /** No complete request waits for its response: input is the next request. */
+  /** No request is in flight; input belongs to the next request. */
   AWAITING_REQUEST,
 
-  /** A request is in flight and no other input has followed it. */
+  /** A complete request waits for its response, and nothing has been received after it. */
   IN_FLIGHT,
 
-  /** A request is in flight; input behind it is discarded, and its response is the last one. */
+  /** A request is in flight; further input is discarded, and the response is the last one. */
   IN_FLIGHT_DISCARDING,
 
-  /** No request is in flight or will be read any more: the connection closes after its writes. */
+  /** No request is in flight and input is discarded; the connection closes after its writes. */
   CLOSING;
 
-  /** Whether a complete request waits for its response. */
+  /** Returns whether a complete request waits for its response. */
   boolean hasRequestInFlight() {
     return this == IN_FLIGHT || this == IN_FLIGHT_DISCARDING;
   }
 
-  /** Whether further input is discarded unparsed. */
+  /** Returns whether further input is discarded without being parsed. */
   boolean isDiscardingInput() {
     return this == IN_FLIGHT_DISCARDING || this == CLOSING;
   }
 
-  /** The state once the request in flight is complete, with a response or without. */
+  /** Returns the state after the request in flight has ended, with or without a response. */
   ConnectionState afterRequest() {
     return switch (this) {
       case AWAITING_REQUEST, IN_FLIGHT -> AWAITING_REQUEST;
@@ -32,7 +32,7 @@
     };
   }
 
-  /** The state in which further input is discarded. */
+  /** Returns the state that follows this one when further input is to be discarded. */
   ConnectionState discardingInput() {
     return switch (this) {
       case AWAITING_REQUEST, CLOSING -> CLOSING;
--- a/src/main/java/loadbalancer/proxy/downstream/ConnectionTable.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ConnectionTable.java
@@ -5,58 +5,61 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The open client connections and their limit. Belongs to the event loop. */
+/**
+ * The open client connections, ordered by last response, and the limit on their number. Not
+ * thread-safe: for use on the event loop.
+ */
 final class ConnectionTable {
 
   private final int maxConnections;
 
-  /** Ordered by the time of the last response, least recent first; a new connection comes last. */
+  /** Ordered by time of last response, least recent first; a new connection is added last. */
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-  /** Makes an empty table for at most this many connections. */
+  /** Creates an empty table that is full at the given number of connections. */
   ConnectionTable(int maxConnections) {
     this.maxConnections = maxConnections;
   }
 
-  /** Adds a connection that was just accepted. */
+  /** Adds a newly accepted connection; does not enforce the limit. */
   void add(ClientConnection connection) {
     connections.add(connection);
   }
 
-  /** Removes a connection that has closed; does nothing for one that is not in the table. */
+  /** Removes a closed connection; does nothing if it is not in the table. */
   void remove(ClientConnection connection) {
     connections.remove(connection);
   }
 
-  /** Notes that this connection has had the most recent response, if it is in the table. */
+  /** Moves the connection to the end of the order; does nothing if it is not in the table. */
   void responseWritten(ClientConnection connection) {
     if (connections.remove(connection)) {
       connections.add(connection);
     }
   }
 
-  /** The number of open connections. */
+  /** Returns the number of open connections. */
   int size() {
     return connections.size();
   }
 
-  /** Whether the limit is reached. */
+  /** Returns whether the limit is reached. */
   boolean isFull() {
     return connections.size() >= maxConnections;
   }
 
-  /** Whether more than this fraction of the limit is open. */
-  boolean isFilledOver(double fraction) {
+  /** Returns whether the open connections exceed the given fraction of the limit. */
+  boolean exceedsFraction(double fraction) {
     return connections.size() > maxConnections * fraction;
   }
 
-  /** A copy of the table, the connection with the least recent response first. */
+  /** Returns a copy of the connections, the one with the least recent response first. */
   List<ClientConnection> snapshot() {
     return List.copyOf(connections);
   }
 
-  /** The connection that has been idle for longest since a response, if there is one. */
+  /** Returns the connection that has been idle for the longest time since a response, if any. */
   Optional<ClientConnection> leastRecentlyUsedIdle() {
-    return connections.stream().filter(ClientConnection::isIdleAfterUse).findFirst();
+    return connections.stream().filter(ClientConnection::isIdleAfterResponse).findFirst();
   }
 }
--- a/src/main/java/loadbalancer/proxy/downstream/ConnectionTimeouts.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ConnectionTimeouts.java
@@ -4,50 +4,57 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Enforces the time limits of client connections: without them, connections that send nothing or
- * never complete a request would hold all descriptors in the end. Sweeps over all connections
- * periodically, which costs less than a timer for each. Belongs to the event loop.
+ * Enforces the time limits of client connections. Without limits, connections that send nothing or
+ * never complete a request would eventually hold all file descriptors. A periodic sweep over all
+ * connections costs less than a timer for each. Not thread-safe: for use on the event loop.
  */
 final class ConnectionTimeouts {
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** Short, since at the connection limit the next client waits for a sweep. */
+  /** Short, because at the connection limit the next client may have to wait for a sweep. */
   private static final long SWEEP_PERIOD_MILLIS = 50;
 
   /**
-   * For receiving a request: from the connect for the first one, from its first byte for a later
-   * one. The protocol owes a peer without a proper request an error within 3 s.
+   * The limit for receiving a complete request, counted from the connect for the first request and
+   * from its first byte for a later one. Below the 3 s within which the protocol requires an error
+   * response to an incomplete or malformed request.
    */
   private static final long MAX_RECEIVING_NANOS = 2_300 * NANOS_PER_MILLI;
 
   /**
-   * For the first request at the connection limit: clients send theirs directly after the connect.
+   * The limit for receiving the first request while the connection limit is reached. Short, because
+   * clients send their first request directly after the connect.
    */
-  private static final long MAX_UNUSED_NANOS_WHEN_FULL = 250 * NANOS_PER_MILLI;
+  private static final long MAX_FIRST_REQUEST_NANOS_WHEN_FULL = 250 * NANOS_PER_MILLI;
 
-  /** Between requests, with many connections open; the protocol allows a close after 2 s. */
-  private static final long MAX_IDLE_NANOS_WHEN_CROWDED = 2_000 * NANOS_PER_MILLI;
+  /**
+   * The limit for an idle connection while many are open. The protocol allows the proxy to close a
+   * connection that has been idle for 2 s.
+   */
+  private static final long MAX_IDLE_NANOS_AT_HIGH_USAGE = 2_000 * NANOS_PER_MILLI;
 
-  /** Between requests, with few connections open: an idle connection holds memory. */
+  /** The limit for an idle connection while few are open; it exists to free their memory. */
   private static final long MAX_IDLE_NANOS = 10_000 * NANOS_PER_MILLI;
 
-  /** The fraction of the connection limit beyond which many connections are open. */
-  private static final double CROWDED_FRACTION = 0.5;
+  /**
+   * The fraction of the connection limit above which {@link #MAX_IDLE_NANOS_AT_HIGH_USAGE} applies.
+   */
+  private static final double HIGH_USAGE_FRACTION = 0.5;
 
-  /** For a client to read what was written to it. */
+  /** The limit for a client that does not read the data written to it. */
   private static final long MAX_WRITE_STALL_NANOS = 5_000 * NANOS_PER_MILLI;
 
   private final EventLoop loop;
   private final ConnectionTable connections;
 
-  /** Makes a sweep over this table, which {@link #start} begins. */
+  /** Creates the sweep over the given table; {@link #start} starts it. */
   ConnectionTimeouts(EventLoop loop, ConnectionTable connections) {
     this.loop = loop;
     this.connections = connections;
   }
 
-  /** Starts the periodic sweep, for the rest of the loop's life. */
+  /** Starts the periodic sweep, which runs until the loop shuts down. */
   void start() {
     loop.scheduleWithFixedDelay(
         this::sweep, SWEEP_PERIOD_MILLIS, SWEEP_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
@@ -59,7 +66,7 @@
       enforceLimits(connection, nowNanos);
     }
     if (connections.isFull()) {
-      // Makes room for the next client even where every connection is within its limits.
+      // Makes room for the next client even if every connection is within its time limits.
       connections.leastRecentlyUsedIdle().ifPresent(ClientConnection::closeAfterWrites);
     }
   }
@@ -68,7 +75,7 @@
     if (connection.times().writeStalledNanos(nowNanos) > MAX_WRITE_STALL_NANOS) {
       connection.abort();
     } else if (connection.receivingNanos(nowNanos) > maxReceivingNanos(connection)) {
-      connection.expire();
+      connection.rejectIncompleteRequest();
     } else if (connection.isIdle()
         && connection.times().idleNanos(nowNanos) > maxIdleNanos(connection)) {
       connection.closeAfterWrites();
@@ -76,16 +83,16 @@
   }
 
   private long maxReceivingNanos(ClientConnection connection) {
-    boolean isUnusedWhenFull = connections.isFull() && connection.isNeverUsed();
-    return isUnusedWhenFull ? MAX_UNUSED_NANOS_WHEN_FULL : MAX_RECEIVING_NANOS;
+    boolean isFirstRequestWhenFull = connections.isFull() && connection.isAwaitingFirstRequest();
+    return isFirstRequestWhenFull ? MAX_FIRST_REQUEST_NANOS_WHEN_FULL : MAX_RECEIVING_NANOS;
   }
 
   private long maxIdleNanos(ClientConnection connection) {
-    if (connection.isNeverUsed()) {
+    if (connection.isAwaitingFirstRequest()) {
       return maxReceivingNanos(connection);
     }
-    return connections.isFilledOver(CROWDED_FRACTION)
-        ? MAX_IDLE_NANOS_WHEN_CROWDED
+    return connections.exceedsFraction(HIGH_USAGE_FRACTION)
+        ? MAX_IDLE_NANOS_AT_HIGH_USAGE
         : MAX_IDLE_NANOS;
   }
 }
--- a/src/main/java/loadbalancer/proxy/downstream/ConnectionTimes.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ConnectionTimes.java
@@ -1,9 +1,9 @@
 package loadbalancer.proxy.downstream;
 
 /**
- * When a connection last received, responded and stalled, by {@link System#nanoTime}. Belongs to
- * the event loop. Plain fields with a value for "never", since they are read in every sweep and
- * written for every request.
+ * The timestamps of one connection, by {@link System#nanoTime}. They are plain {@code long} fields
+ * with a sentinel for "never", because they are read in every sweep and written for every request.
+ * Not thread-safe: for use on the event loop.
  */
 final class ConnectionTimes {
 
@@ -12,56 +12,56 @@
   private final long openedAtNanos = System.nanoTime();
   private long lastResponseAtNanos = NEVER;
 
-  /** The first byte of the request that is being received or in flight. */
+  /** When the first byte of the current request arrived, which may still be incomplete. */
   private long requestStartedAtNanos = NEVER;
 
   private long writeStalledSinceNanos = NEVER;
 
-  /** Notes received bytes, the first of which start a request. */
+  /** Records received bytes of a request; the first ones set its start. */
   void requestBytesReceived() {
     if (requestStartedAtNanos == NEVER) {
       requestStartedAtNanos = System.nanoTime();
     }
   }
 
-  /** Notes a response, which ends the request. */
+  /** Records a written response, which ends the current request. */
   void responseWritten() {
     requestStartedAtNanos = NEVER;
     lastResponseAtNanos = System.nanoTime();
   }
 
-  /** Notes that the socket takes more output again, or none any more. */
+  /** Records that the channel has become writable or unwritable. */
   void writabilityChanged(boolean isWritable) {
     writeStalledSinceNanos = isWritable ? NEVER : System.nanoTime();
   }
 
-  /** Whether bytes of a request have been received that has had no response yet. */
+  /** Returns whether at least one byte of a request without a response has been received. */
   boolean hasRequestStarted() {
     return requestStartedAtNanos != NEVER;
   }
 
-  /** Whether any request has had a response. */
+  /** Returns whether any response has been written. */
   boolean hasResponded() {
     return lastResponseAtNanos != NEVER;
   }
 
-  /** Time in nanoseconds since the last response, or since the connect where there was none. */
+  /** Returns the nanoseconds since the last response, or since the connect if there was none. */
   long idleNanos(long nowNanos) {
     return nowNanos - (hasResponded() ? lastResponseAtNanos : openedAtNanos);
   }
 
   /**
-   * Time in nanoseconds since the request's first byte, or since the connect for the first request;
-   * 0 where none has started.
+   * Returns the nanoseconds since the first byte of the current request, or since the connect for
+   * the first request of the connection. Returns 0 if no request has started.
    */
-  long requestNanos(long nowNanos) {
+  long requestAgeNanos(long nowNanos) {
     if (!hasRequestStarted()) {
       return 0;
     }
     return nowNanos - (hasResponded() ? requestStartedAtNanos : openedAtNanos);
   }
 
-  /** Time in nanoseconds for which the socket has taken no output; 0 while it takes some. */
+  /** Returns the nanoseconds since the channel became unwritable; 0 while it is writable. */
   long writeStalledNanos(long nowNanos) {
     return writeStalledSinceNanos == NEVER ? 0 : nowNanos - writeStalledSinceNanos;
   }
--- a/src/main/java/loadbalancer/proxy/downstream/DiscardedInput.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DiscardedInput.java
@@ -4,8 +4,9 @@
 import loadbalancer.proxy.transport.PeekableSocketChannel;
 
 /**
- * Counts the bytes of a connection that were discarded. Input behind a request in flight is read
- * and discarded, since only reading shows a disconnect; more than the limit is a flood.
+ * Counts the discarded input of one connection. Input that follows a request in flight is read and
+ * discarded, because a disconnect is detected only by reading. The limit bounds the work that a
+ * client can cause this way. Not thread-safe: for use on the event loop.
  */
 final class DiscardedInput {
 
@@ -13,25 +14,26 @@
 
   private long discardedBytes;
 
-  /** Counts discarded bytes. */
+  /** Adds to the number of discarded bytes. */
   void add(int bytes) {
     discardedBytes += bytes;
   }
 
-  /** Whether more than the limit was discarded. */
-  boolean isFlood() {
+  /** Returns whether more bytes were discarded than the limit allows. */
+  boolean exceedsLimit() {
     return discardedBytes > MAX_DISCARDED_BYTES;
   }
 
   /**
-   * Takes unread input from the channel's socket, at most until it is a flood, without counting it.
+   * Reads and drops input that waits in the channel's socket, at most one byte more than the limit
+   * still allows. The caller has to count it by {@link #add}.
    *
-   * @return the number of bytes taken, or -1 where the client's disconnect lies behind them
+   * @return the number of bytes dropped, or -1 if the client's disconnect was reached
    */
   int skipUnread(Channel channel) {
-    int bytesUntilFlood = (int) (MAX_DISCARDED_BYTES + 1 - discardedBytes);
-    if (bytesUntilFlood > 0 && channel instanceof PeekableSocketChannel socket) {
-      return socket.skip(bytesUntilFlood);
+    int bytesUntilOverLimit = (int) (MAX_DISCARDED_BYTES + 1 - discardedBytes);
+    if (bytesUntilOverLimit > 0 && channel instanceof PeekableSocketChannel socket) {
+      return socket.skip(bytesUntilOverLimit);
     }
     return 0;
   }
--- a/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
@@ -11,9 +11,9 @@
 import loadbalancer.proxy.http.ClientRequest;
 
 /**
- * Serves clients: listens, holds the table of client connections and its limit, responds to
- * readiness checks, and closes the connections at a graceful shutdown. Belongs to the event loop:
- * all methods but {@link #setWarmUpPath} and {@link #listen} are to be called on its thread.
+ * Serves the clients: accepts connections up to a limit, passes their requests to the coordinator,
+ * decides readiness, and closes the connections during a graceful shutdown. Not thread-safe: all
+ * methods except {@link #setWarmUpPath} and {@link #listen} must be called on the event loop.
  */
 public final class DownstreamServer {
 
@@ -30,16 +30,16 @@
   private boolean isShuttingDown;
   private boolean closesAfterResponse;
 
-  /** Null without a warm-up, and after it. */
+  /** Null if there is no warm-up or it has ended. */
   private String warmUpPath;
 
   /**
-   * Makes a server that accepts connections from {@link #listen} on.
+   * Creates a server, which accepts connections once {@link #listen} is called.
    *
-   * @param loop serves all connections
-   * @param settings the request classes and tenants that requests may name
-   * @param coordinator takes the clients' requests
-   * @param maxConnections open at a time
+   * @param loop accepts and serves all connections
+   * @param settings defines the request classes and tenants that requests may name
+   * @param coordinator receives the clients' requests
+   * @param maxConnections the maximum number of open client connections
    */
   public DownstreamServer(
       EventLoop loop, PolicySettings settings, RequestCoordinator coordinator, int maxConnections) {
@@ -54,17 +54,18 @@
   // ---- Listening and readiness
 
   /**
-   * Sets the path of the requests that the warm-up sends to its own process, which get status 200
-   * until {@link #setReady}; to be called before {@link #listen}.
+   * Sets the path of the requests that the warm-up sends to its own process. They get status 200
+   * until {@link #setReady} is called. Must be called before {@link #listen}.
    */
   public void setWarmUpPath(String path) {
     warmUpPath = path;
   }
 
   /**
-   * Listens, and starts the time limits of connections; waits for the bind, so it must not be
-   * called on the event loop.
+   * Starts accepting connections and enforcing their time limits. Blocks until the socket is bound,
+   * so it must not be called on the event loop.
    *
+   * @param address the address to listen on; port 0 selects any free port
    * @return the bound address
    * @throws InterruptedException if interrupted while waiting for the bind
    */
@@ -74,40 +75,40 @@
     return bound;
   }
 
-  /** Ends the warm-up: from now on readiness checks succeed. */
+  /** Ends the warm-up: readiness checks succeed until a graceful shutdown begins. */
   public void setReady() {
     isWarmedUp = true;
     warmUpPath = null;
   }
 
-  /** Whether this is the path of readiness checks, or that of the warm-up's requests. */
+  /** Returns whether the URI is the path of readiness checks or of the warm-up's requests. */
   boolean isReadinessPath(String uri) {
     return uri.equals(READINESS_PATH) || isWarmUpPath(uri);
   }
 
-  /** Whether a request for one of the readiness paths succeeds. */
+  /** Returns whether a request for the given readiness path gets status 200, otherwise 503. */
   boolean isReadyFor(String uri) {
     return isWarmUpPath(uri) || (isWarmedUp && !isShuttingDown);
   }
 
-  /** No client knows the warm-up's path. */
+  /** Clients do not know this path, so they cannot get status 200 during the warm-up. */
   private boolean isWarmUpPath(String uri) {
     return uri.equals(warmUpPath);
   }
 
-  /** The settings that requests are checked against. */
+  /** Returns the settings that requests are checked against. */
   public PolicySettings settings() {
     return settings;
   }
 
   // ---- Connections
 
-  /** The open connections, the one with the least recent response first; a copy. */
+  /** Returns a copy of the open connections, the one with the least recent response first. */
   public List<ClientConnection> connections() {
     return connections.snapshot();
   }
 
-  /** The number of open connections. */
+  /** Returns the number of open client connections. */
   public int openConnections() {
     return connections.size();
   }
@@ -121,9 +122,9 @@
   }
 
   /**
-   * At the limit, closes the least recently used idle connection, so that a new client (or a
-   * readiness check) need not wait for a sweep of {@link ConnectionTimeouts}. Without an idle
-   * connection nothing more is accepted until a connection closes.
+   * Adds a connection. If the limit is reached, closes the least recently used idle connection, so
+   * that the next client or readiness check need not wait for a sweep of {@link
+   * ConnectionTimeouts}. If no connection is idle, pauses accepting until one closes.
    */
   private void connectionOpened(ClientConnection connection) {
     connections.add(connection);
@@ -134,7 +135,7 @@
     }
   }
 
-  /** Removes a closed connection, and accepts again below the limit. */
+  /** Removes a closed connection, and resumes accepting if the limit is no longer reached. */
   void connectionClosed(ClientConnection connection) {
     connections.remove(connection);
     if (!connections.isFull()) {
@@ -142,60 +143,61 @@
     }
   }
 
-  /** Notes that this connection has had the most recent response. */
+  /** Records that the most recent response was written to the given connection. */
   void responseWritten(ClientConnection connection) {
     connections.responseWritten(connection);
   }
 
   // ---- Requests
 
-  /** Parses and checks the requests of all connections. */
+  /** Returns the parser that all connections share. */
   ClientRequestParser requestParser() {
     return requestParser;
   }
 
-  /** Submits a request; false if a request with its id is open already. */
+  /** Submits a request; returns false if a request with the same id is already in flight. */
   boolean submit(ClientRequest request, DownstreamClient client) {
     return coordinator.accept(request, client);
   }
 
-  /** Notifies the coordinator that the client of this open request has disconnected. */
+  /** Notifies the coordinator that the client of the given request has disconnected. */
   void clientDisconnected(String requestId) {
     coordinator.clientDisconnected(requestId);
   }
 
-  // ---- Graceful shutdown, in the order of its steps
+  // ---- Graceful shutdown, in the order of the steps
 
-  /** Fails readiness checks from now on; connected and new clients are served as before. */
+  /** Makes readiness checks fail; existing and new connections are served as before. */
   public void beginGracefulShutdown() {
     isShuttingDown = true;
   }
 
-  /** Accepts no more connections. */
+  /** Closes the listening socket; open connections are still served. */
   public void stopListening() {
     listener.close();
   }
 
   /**
-   * Closes each connection after its next response from now on, and idle ones at once. Kept are
-   * connections that are receiving a request, and unused ones, whose first request may be on its
-   * way: both are owed a response.
+   * Closes the connections that are idle after a response, and from now on closes each other
+   * connection after its next response. Connections that are receiving a request, or have not
+   * received their first one yet, stay open: the client has sent or may have sent a request, which
+   * must get a response.
    */
   public void closeIdleConnections() {
     closesAfterResponse = true;
     connections.snapshot().stream()
-        .filter(ClientConnection::isIdleAfterUse)
+        .filter(ClientConnection::isIdleAfterResponse)
         .forEach(ClientConnection::closeAfterWrites);
   }
 
-  /** Whether each connection closes after its next response. */
+  /** Returns whether connections close after their next response. */
   boolean closesAfterResponse() {
     return closesAfterResponse;
   }
 
   /**
-   * Closes connections without a complete request, after a 408 where one is being received: a slow
-   * sender must not delay the end of the process.
+   * Closes all connections without a request in flight, so that a slow sender cannot delay the end
+   * of the process. Where a request has arrived in part, responds 408 first.
    */
   public void endIncompleteRequests() {
     connections.snapshot().stream()
@@ -207,7 +209,7 @@
     if (connection.isIdle()) {
       connection.closeAfterWrites();
     } else {
-      connection.expire();
+      connection.rejectIncompleteRequest();
     }
   }
 }
--- a/src/main/java/loadbalancer/proxy/downstream/ReadPenalty.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ReadPenalty.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Pauses reading from a client after an invalid request, which the client may repeat at full speed.
- * Its connection stays open, since after a close the client would reconnect at once. Belongs to the
- * event loop.
+ * Pauses reading from a connection after an invalid request, to limit the rate at which a client
+ * can repeat it. The connection stays open, because the client could reconnect immediately if it
+ * were closed. Not thread-safe: for use on the event loop.
  */
 final class ReadPenalty {
 
@@ -14,7 +14,7 @@
 
   private boolean isActive;
 
-  /** Starts a penalty; {@code onEnd} runs on the executor once it is over. */
+  /** Starts the penalty; {@code onEnd} runs on the executor when the penalty ends. */
   void start(EventExecutor executor, Runnable onEnd) {
     isActive = true;
     executor.schedule(
@@ -26,7 +26,7 @@
         TimeUnit.MILLISECONDS);
   }
 
-  /** Whether the connection is not to be read. */
+  /** Returns whether reading from the connection is paused. */
   boolean isActive() {
     return isActive;
   }
--- a/src/main/java/loadbalancer/proxy/downstream/RequestAssembler.java
+++ b/src/main/java/loadbalancer/proxy/downstream/RequestAssembler.java
@@ -11,20 +11,22 @@
 import loadbalancer.proxy.http.UpstreamResponse;
 
 /**
- * Collects the head and the body of the request that a connection is receiving, and checks its
- * framing and length.
+ * Assembles the head and the body of the request that a connection is receiving, and checks its
+ * framing and length. Not thread-safe: for use on the event loop.
  */
 final class RequestAssembler {
 
   /** Null while no request is being received. */
   private HttpRequest head;
 
+  /** Kept after {@link #finish} until the next request starts; null before the first one. */
   private ByteArrayOutputStream body;
 
   /**
    * Starts a request.
    *
-   * @throws InvalidRequestException if the framing is invalid; no request is started then
+   * @throws InvalidRequestException if the version, the framing or the announced length is invalid;
+   *     no request is started then
    */
   void start(HttpRequest requestHead) throws InvalidRequestException {
     RequestHeadValidator.check(requestHead);
@@ -32,40 +34,42 @@
     body = new ByteArrayOutputStream();
   }
 
-  /** Whether a request has started that was neither finished nor aborted. */
+  /** Returns whether a request has been started and neither finished nor aborted. */
   boolean isReceiving() {
     return head != null;
   }
 
   /**
-   * Adds a piece of the body; whether it was the last one.
+   * Appends a chunk of the body.
    *
+   * @return whether it was the last chunk
    * @throws InvalidRequestException if the body is longer than the protocol allows
-   * @throws IOException declared by the stream, which holds the body in memory and never throws it
+   * @throws IOException never, since the body is held in memory; declared by the stream's interface
    */
   boolean append(HttpContent content) throws InvalidRequestException, IOException {
-    ByteBuf piece = content.content();
-    piece.readBytes(body, piece.readableBytes());
+    ByteBuf chunk = content.content();
+    chunk.readBytes(body, chunk.readableBytes());
     if (body.size() > UpstreamResponse.MAX_BODY_BYTES) {
       throw new InvalidRequestException(
-          HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE.code(), "body over 64 KiB");
+          HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE.code(),
+          "body: must be at most " + UpstreamResponse.MAX_BODY_BYTES + " bytes");
     }
     return content instanceof LastHttpContent;
   }
 
-  /** Ends a request that is complete; its head. */
+  /** Ends a complete request and returns its head. */
   HttpRequest finish() {
-    HttpRequest finished = head;
+    HttpRequest completeHead = head;
     head = null;
-    return finished;
+    return completeHead;
   }
 
-  /** The body of the request that was finished last; a copy. */
+  /** Returns a copy of the body of the most recently finished request. */
   byte[] body() {
     return body.toByteArray();
   }
 
-  /** Ends a request that is incomplete; the rest of it is to be discarded. */
+  /** Abandons an incomplete request; the caller has to discard the rest of it. */
   void abort() {
     head = null;
   }
--- a/src/main/java/loadbalancer/proxy/downstream/RequestDecoder.java
+++ b/src/main/java/loadbalancer/proxy/downstream/RequestDecoder.java
@@ -8,14 +8,14 @@
 import loadbalancer.proxy.transport.RawBytesFilter;
 
 /**
- * Decodes the HTTP requests of one connection, with strict line ends. Bytes that the filter does
- * not accept are released undecoded.
+ * Decodes the HTTP requests of one connection; lines must end in CRLF. Bytes that the filter does
+ * not accept are dropped before decoding.
  */
 public final class RequestDecoder extends HttpRequestDecoder {
 
   private final RawBytesFilter filter;
 
-  /** Makes the decoder of the connection that this filter belongs to. */
+  /** Creates the decoder of one connection, whose filter sees all bytes before they are decoded. */
   public RequestDecoder(RawBytesFilter filter) {
     super(new HttpDecoderConfig().setStrictLineParsing(true));
     this.filter = filter;
--- a/src/main/java/loadbalancer/proxy/downstream/ResponseFactory.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ResponseFactory.java
@@ -11,18 +11,18 @@
 import java.util.concurrent.TimeUnit;
 import loadbalancer.proxy.http.UpstreamResponse;
 
-/** Makes the responses to clients. */
+/** Creates the responses to clients. All but {@link #continueRequest} have a Content-Length. */
 final class ResponseFactory {
 
   private static final String TEXT_PLAIN = "text/plain";
   private static final byte[] NO_BODY = {};
 
-  /** {@code Retry-After} is written in seconds with this many decimals. */
+  /** {@code Retry-After} is sent in seconds with this many decimal places. */
   private static final int RETRY_AFTER_DECIMALS = 3;
 
   private ResponseFactory() {}
 
-  /** 200 with the body and content type of an upstream's response. */
+  /** Creates a 200 with the body and, if there is one, the content type of an upstream response. */
   static FullHttpResponse served(UpstreamResponse response) {
     FullHttpResponse served = response(HttpResponseStatus.OK, response.body());
     if (response.contentType() != null) {
@@ -32,9 +32,10 @@
   }
 
   /**
-   * 429: the request was rejected, and a retry is harmless.
+   * Creates a 429: the request was rejected, and the client may safely send it again.
    *
-   * @param retryAfterNanos when to retry, in nanoseconds from now; 0 to leave that to the client
+   * @param retryAfterNanos how long the client should wait before that, in nanoseconds; 0 to send
+   *     no {@code Retry-After}
    */
   static FullHttpResponse rejected(long retryAfterNanos) {
     FullHttpResponse rejected = response(HttpResponseStatus.TOO_MANY_REQUESTS, NO_BODY);
@@ -49,22 +50,22 @@
     return rejected;
   }
 
-  /** 502: the request has failed. */
+  /** Creates a 502 without a body: the request failed, possibly after it was processed. */
   static FullHttpResponse failed() {
     return response(HttpResponseStatus.BAD_GATEWAY, NO_BODY);
   }
 
-  /** 100: asks the client for the body of the request that it has announced. */
+  /** Creates a 100, which asks the client to send the body of its request. */
   static FullHttpResponse continueRequest() {
     return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE);
   }
 
-  /** 200 or 503 to a readiness check. */
+  /** Creates the response to a readiness check: 200 if ready, otherwise 503. */
   static FullHttpResponse readiness(boolean isReady) {
     return text(isReady ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
   }
 
-  /** An error of the client, with its explanation as the body. */
+  /** Creates the response to an invalid or incomplete request, with the explanation as its body. */
   static FullHttpResponse clientError(HttpResponseStatus status, String explanation) {
     return text(status, explanation);
   }
--- a/src/main/java/loadbalancer/proxy/downstream/package-info.java
+++ b/src/main/java/loadbalancer/proxy/downstream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections from clients: accepting, receiving requests, time limits, writing responses. All
- * state belongs to the event loop.
+ * Client connections: accepting them, receiving requests, enforcing time limits and writing
+ * responses. All state is confined to the event loop.
  */
 package loadbalancer.proxy.downstream;
