--- a/src/test/java/loadbalancer/proxy/ClientConnectionLimitsTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientConnectionLimitsTest.java
@@ -17,18 +17,19 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Clients that send nothing or an incomplete request, smuggle a request or open too many
- * connections: each gets an error or a close, and other clients are served.
+ * Tests the protection against clients that send nothing or an incomplete request, attempt request
+ * smuggling, repeat invalid requests or open too many connections. Such a client gets an error, a
+ * delay or a close, and other clients are served.
  */
 class ClientConnectionLimitsTest {
 
   private static final String KEYED_REQUEST = TestClient.keyedRequest("1", 15_000);
 
   @Test
-  void silentConnectionIsClosed() throws Exception {
+  void connectionWithoutInputIsClosed() throws Exception {
     TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1);
-    try (TestClient silentClient = new TestClient(proxy.address)) {
-      assertTrue(silentClient.isClosedByServer());
+    try (TestClient idleClient = new TestClient(proxy.address)) {
+      assertTrue(idleClient.isClosedByServer());
     }
   }
 
@@ -44,7 +45,7 @@
 
   @ParameterizedTest
   @MethodSource("incompleteRequests")
-  void incompleteRequestGets408AndAClose(String incompleteRequest) throws Exception {
+  void incompleteRequestGets408AndTheConnectionIsClosed(String incompleteRequest) throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(proxy.address)) {
@@ -55,51 +56,64 @@
     }
   }
 
-  private static Arguments changedRequest(int status, String from, String to) {
+  private static Arguments modifiedRequest(int status, String from, String to) {
     return Arguments.of(status, KEYED_REQUEST.replace(from, to));
   }
 
-  /** Requests with ambiguous framing, some with a request hidden in the body. */
+  /**
+   * Requests with ambiguous or invalid framing. Where the length and the transfer coding disagree,
+   * a second request is hidden behind the end that the coding gives.
+   */
   static Stream<Arguments> ambiguousRequests() {
-    String hidden = "0\r\n\r\n" + TestClient.idempotentRequest("2", 15_000, "");
-    String lengthAndCoding = "Content-Length: " + hidden.length() + "\r\nTransfer-Encoding: ";
+    String smuggledBody = "0\r\n\r\n" + TestClient.idempotentRequest("2", 15_000, "");
+    String lengthAndEncoding =
+        "Content-Length: " + smuggledBody.length() + "\r\nTransfer-Encoding: ";
     return Stream.of(
-        changedRequest(
-            400, "Content-Length: 4\r\n\r\nbody", lengthAndCoding + "chunked\r\n\r\n" + hidden),
-        changedRequest(
+        modifiedRequest(
             400,
             "Content-Length: 4\r\n\r\nbody",
-            lengthAndCoding + "gzip, chunked\r\n\r\n" + hidden),
-        changedRequest(
-            400, "Content-Length: 4\r\n\r\nbody", lengthAndCoding + "identity\r\n\r\n" + hidden),
-        changedRequest(
-            400, "Content-Length: 4\r\n\r\nbody", lengthAndCoding + "\tchunked\r\n\r\n" + hidden),
-        changedRequest(
+            lengthAndEncoding + "chunked\r\n\r\n" + smuggledBody),
+        modifiedRequest(
             400,
             "Content-Length: 4\r\n\r\nbody",
-            lengthAndCoding + "\r\n chunked\r\n\r\n" + hidden),
-        changedRequest(
+            lengthAndEncoding + "gzip, chunked\r\n\r\n" + smuggledBody),
+        modifiedRequest(
             400,
             "Content-Length: 4\r\n\r\nbody",
-            lengthAndCoding.replace("Encoding:", "Encoding :") + "chunked\r\n\r\n" + hidden),
-        changedRequest(
+            lengthAndEncoding + "identity\r\n\r\n" + smuggledBody),
+        modifiedRequest(
             400,
             "Content-Length: 4\r\n\r\nbody",
-            lengthAndCoding + "chunked\r\nTransfer-Encoding: chunked\r\n\r\n" + hidden),
-        changedRequest(400, "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 4"),
-        changedRequest(400, "Content-Length: 4", "Content-Length: 4, 4"),
-        changedRequest(400, "Content-Length: 4", "Content-Length: +4"),
-        changedRequest(400, "Content-Length: 4", "Content-Length: -4"),
-        changedRequest(400, "Content-Length: 4", "Content-Length: 4\nX: y"),
-        changedRequest(505, "HTTP/1.1", "HTTP/1.0"),
-        changedRequest(413, "Content-Length: 4\r\n\r\nbody", "Content-Length: 62914560\r\n\r\n"),
-        changedRequest(
+            lengthAndEncoding + "\tchunked\r\n\r\n" + smuggledBody),
+        modifiedRequest(
+            400,
+            "Content-Length: 4\r\n\r\nbody",
+            lengthAndEncoding + "\r\n chunked\r\n\r\n" + smuggledBody),
+        modifiedRequest(
+            400,
+            "Content-Length: 4\r\n\r\nbody",
+            lengthAndEncoding.replace("Encoding:", "Encoding :")
+                + "chunked\r\n\r\n"
+                + smuggledBody),
+        modifiedRequest(
+            400,
+            "Content-Length: 4\r\n\r\nbody",
+            lengthAndEncoding + "chunked\r\nTransfer-Encoding: chunked\r\n\r\n" + smuggledBody),
+        modifiedRequest(400, "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 4"),
+        modifiedRequest(400, "Content-Length: 4", "Content-Length: 4, 4"),
+        modifiedRequest(400, "Content-Length: 4", "Content-Length: +4"),
+        modifiedRequest(400, "Content-Length: 4", "Content-Length: -4"),
+        modifiedRequest(400, "Content-Length: 4", "Content-Length: 4\nX: y"),
+        modifiedRequest(505, "HTTP/1.1", "HTTP/1.0"),
+        modifiedRequest(413, "Content-Length: 4\r\n\r\nbody", "Content-Length: 62914560\r\n\r\n"),
+        modifiedRequest(
             400, "Content-Length: 4\r\n\r\nbody", "Content-Length: 99999999999999999999\r\n\r\n"));
   }
 
   @ParameterizedTest
   @MethodSource("ambiguousRequests")
-  void requestWithAmbiguousFramingIsRejectedAndClosed(int status, String request) throws Exception {
+  void ambiguousFramingIsRejectedAndTheConnectionClosed(int status, String request)
+      throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(proxy.address);
@@ -108,7 +122,7 @@
         assertTrue(client.isClosedByServer());
         assertEquals(
             200, nextClient.exchange(TestClient.idempotentRequest("3", 15_000, "")).status());
-        assertEquals(1, upstream.requests.size(), "none of the rejected request was forwarded");
+        assertEquals(1, upstream.requests.size(), "the rejected request must not be forwarded");
       }
     }
   }
@@ -138,7 +152,7 @@
   }
 
   @Test
-  void clientOfAnInvalidRequestIsSlowedDownAndServed() throws Exception {
+  void nextRequestAfterAnInvalidOneIsDelayedAndServed() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(proxy.address)) {
@@ -150,33 +164,34 @@
         long rejectedAtNanos = System.nanoTime();
         assertEquals(200, client.exchange(TestClient.idempotentRequest("2", 15_000, "")).status());
         assertTrue(
-            System.nanoTime() - rejectedAtNanos > 300_000_000L, "the client was not slowed down");
+            System.nanoTime() - rejectedAtNanos > 300_000_000L,
+            "reading was not paused after the invalid request");
       }
     }
   }
 
   @Test
-  void silentConnectionsAtTheLimitAreClosedForAClientWithARequest() throws Exception {
+  void unusedConnectionsAtTheLimitAreClosedSoThatAnotherClientIsServed() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestProxy proxy =
           new TestProxy(
               TestProxy.configurationJson(TestProxy.unreachableAddress(), 1, upstream)
                   .replace("\"sockets\":1024", "\"sockets\":20"));
-      List<TestClient> silentClients = new ArrayList<>();
+      List<TestClient> idleClients = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
-        silentClients.add(new TestClient(proxy.address));
+        idleClients.add(new TestClient(proxy.address));
       }
       try (TestClient client = new TestClient(proxy.address)) {
         assertEquals(200, client.exchange(TestClient.idempotentRequest("1", 15_000, "")).status());
       }
-      for (TestClient silentClient : silentClients) {
-        silentClient.close();
+      for (TestClient idleClient : idleClients) {
+        idleClient.close();
       }
     }
   }
 
   @Test
-  void disconnectBehindAPipelinedRequestIsDetected() throws Exception {
+  void disconnectAfterAPipelinedRequestIsDetected() throws Exception {
     try (FakeHttpServer upstream = new FakeHttpServer((request, connection, out) -> {})) {
       TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(proxy.address)) {
@@ -188,31 +203,35 @@
       TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
       assertTrue(
           System.nanoTime() - disconnectedAtNanos < 14_000_000_000L,
-          "detected only after the request's time limit");
+          "disconnect not detected before the request's time limit");
     }
   }
 
   @Test
-  void warmUpPathIsUnknownToClients() throws Exception {
+  void warmUpPathIsRejectedForClients() throws Exception {
     TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1);
     try (TestClient client = new TestClient(proxy.address)) {
       assertEquals(400, client.exchange("GET /live HTTP/1.1\r\nHost: h\r\n\r\n").status());
     }
   }
 
-  /** More would take the descriptors of the connections to upstreams and to discovery. */
+  /**
+   * Connections beyond the limit would use up the file descriptors that connections to upstreams
+   * and to discovery need. The event loop is blocked while the clients connect, so that it finds
+   * all of them waiting at once.
+   */
   @Test
-  void connectionsAreAcceptedUpToTheLimit() throws Exception {
+  void numberOfOpenConnectionsReachesButNeverExceedsTheLimit() throws Exception {
     EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     List<TestClient> clients = new ArrayList<>();
     try {
       TestDownstreamServer server = new TestDownstreamServer(loop, event -> {});
-      CountDownLatch loopMayContinue = new CountDownLatch(1);
-      TestProxy.block(loop, loopMayContinue);
+      CountDownLatch releaseLoop = new CountDownLatch(1);
+      TestProxy.block(loop, releaseLoop);
       for (int i = 0; i < 2 * TestDownstreamServer.MAX_CONNECTIONS; i++) {
         clients.add(new TestClient(server.address));
       }
-      loopMayContinue.countDown();
+      releaseLoop.countDown();
       int[] maxOpen = {0};
       TestProxy.waitUntil(
           () -> {
--- a/src/test/java/loadbalancer/proxy/ClientDisconnectFixture.java
+++ b/src/test/java/loadbalancer/proxy/ClientDisconnectFixture.java
@@ -17,24 +17,24 @@
 import org.junit.jupiter.api.AfterEach;
 
 /**
- * Clients that disconnect from a server with the real policy, on an event loop that a test can
- * block.
+ * Base class of tests in which clients disconnect. Runs a {@link TestDownstreamServer} on an event
+ * loop that a test can block, so that input and a disconnect accumulate unread.
  */
 abstract class ClientDisconnectFixture {
 
-  /** The class's deadline: no test waits so long that a request would time out meanwhile. */
+  /** The deadline of the request class. No passing test takes so long that a request times out. */
   static final long TIME_LEFT_MILLIS = 20_000;
 
   /** Serves all connections of the server. */
   final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
 
-  /** Disconnects of clients and outcomes of attempts, in the order of the policy's events. */
-  final BlockingQueue<Event> endEvents = new LinkedBlockingQueue<>();
+  /** The client disconnects and completed attempts that the policy received, in order. */
+  final BlockingQueue<Event> disconnectAndAttemptEvents = new LinkedBlockingQueue<>();
 
-  /** The ids of the requests that arrived at the policy. */
-  final BlockingQueue<String> arrivedRequestIds = new LinkedBlockingQueue<>();
+  /** The ids of the requests that the policy received, in order of arrival. */
+  final BlockingQueue<String> receivedRequestIds = new LinkedBlockingQueue<>();
 
-  /** Runs on the event loop before the policy handles a request. */
+  /** Runs on the event loop before the policy handles each new request. */
   volatile Runnable beforeRequest = () -> {};
 
   /** Starts a server whose policy cancels the attempts of disconnected clients. */
@@ -43,18 +43,20 @@
   }
 
   /**
-   * Starts a server whose policy queues requests for as long as their clients wait: a test in which
-   * the policy rejects the request would prove nothing.
+   * Starts a server with a latency objective so long that the policy queues requests and does not
+   * reject them: a rejected request is never forwarded, with or without a disconnect.
+   *
+   * @param cancels whether the policy cancels the attempts of disconnected clients
    */
   TestDownstreamServer start(boolean cancels, FakeHttpServer... upstreams) throws Exception {
     return new TestDownstreamServer(
         loop,
         event -> {
           if (event instanceof ClientDisconnected || event instanceof AttemptCompleted) {
-            endEvents.add(event);
+            disconnectAndAttemptEvents.add(event);
           } else if (event instanceof RequestArrived arrived) {
             beforeRequest.run();
-            arrivedRequestIds.add(arrived.requestId());
+            receivedRequestIds.add(arrived.requestId());
           }
         },
         configuration ->
@@ -64,26 +66,29 @@
         upstreams);
   }
 
-  /** Stops the event loop and with it the server. */
+  /** Stops the event loop, and with it the server. */
   @AfterEach
   void stop() {
     loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
-  /** A request whose class is idempotent, with no time limit that a test reaches. */
+  /** Returns a request of an idempotent class that does not time out during a test. */
   static String request(String id) {
     return TestClient.idempotentRequest(id, TIME_LEFT_MILLIS, "");
   }
 
-  /** Blocks the event loop, which falls behind until the latch is counted down. */
+  /** Blocks the event loop until the returned latch is counted down. */
   CountDownLatch blockLoop() throws InterruptedException {
-    CountDownLatch loopMayContinue = new CountDownLatch(1);
-    TestProxy.block(loop, loopMayContinue);
-    return loopMayContinue;
+    CountDownLatch releaseLoop = new CountDownLatch(1);
+    TestProxy.block(loop, releaseLoop);
+    return releaseLoop;
   }
 
-  /** One more client is served, after which the upstream has had this many requests. */
-  void assertNextIsServed(TestDownstreamServer server, FakeHttpServer upstream, int requests)
+  /**
+   * Asserts that another client is served, and that the upstream has then received exactly the
+   * given number of requests: an attempt for the disconnected client would be one too many.
+   */
+  void assertNextClientIsServed(TestDownstreamServer server, FakeHttpServer upstream, int requests)
       throws Exception {
     try (TestClient nextClient = new TestClient(server.address)) {
       assertEquals(200, nextClient.exchange(request("next")).status());
--- a/src/test/java/loadbalancer/proxy/DisconnectBeforeForwardingTest.java
+++ b/src/test/java/loadbalancer/proxy/DisconnectBeforeForwardingTest.java
@@ -15,32 +15,34 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * No attempt is started for a request whose client has disconnected: not if the disconnect is still
- * unread, and not from the queue, for a retry or after a connect.
+ * Tests that no attempt is started for a request whose client has disconnected, even if the event
+ * loop has not read the disconnect yet. Covers new requests, queued requests, retries, and requests
+ * that wait for an upstream connection to be established.
  */
 class DisconnectBeforeForwardingTest extends ClientDisconnectFixture {
 
   private static final String UNPROCESSED =
       "HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
 
-  /** Input before the disconnect, which a blocked event loop finds unread together with it. */
-  static Stream<Arguments> unreadInput() {
+  /** Input that precedes the disconnect; the blocked event loop has read neither of them. */
+  static Stream<Arguments> inputBeforeTheDisconnect() {
     return Stream.of(true, false)
         .flatMap(
             reset ->
                 Stream.of(
                     Arguments.of("nothing", "", reset),
-                    Arguments.of("a byte", "x", reset),
-                    Arguments.of("noise", "nonsense\r\n\r\n", reset),
+                    Arguments.of("one byte", "x", reset),
+                    Arguments.of("invalid data", "nonsense\r\n\r\n", reset),
                     Arguments.of("another request", request("more"), reset),
-                    Arguments.of("more than is read in a round", "x".repeat(9_000), reset),
-                    Arguments.of("much", "x".repeat(40_000), reset)));
+                    Arguments.of(
+                        "more than one turn of the event loop reads", "x".repeat(9_000), reset),
+                    Arguments.of("40 kB", "x".repeat(40_000), reset)));
   }
 
   @ParameterizedTest(name = "{0}, reset {2}")
-  @MethodSource("unreadInput")
-  void requestReadTogetherWithADisconnectIsNotForwarded(
-      String name, String unreadInput, boolean reset) throws Exception {
+  @MethodSource("inputBeforeTheDisconnect")
+  void requestFollowedByAnUnreadDisconnectIsNotForwarded(
+      String name, String inputBeforeTheDisconnect, boolean reset) throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestDownstreamServer server = start(upstream);
       try (TestClient client = new TestClient(server.address)) {
@@ -48,27 +50,27 @@
             200,
             client.exchange(request("1")).status(),
             "opens the connections that the next request uses");
-        CountDownLatch loopMayContinue = blockLoop();
-        client.send(request("2")).send(unreadInput).disconnect(reset);
-        loopMayContinue.countDown();
+        CountDownLatch releaseLoop = blockLoop();
+        client.send(request("2")).send(inputBeforeTheDisconnect).disconnect(reset);
+        releaseLoop.countDown();
       }
       TestProxy.waitUntil(() -> server.openConnections() == 0);
-      assertNextIsServed(server, upstream, 2);
+      assertNextClientIsServed(server, upstream, 2);
     }
   }
 
   @ParameterizedTest(name = "{0}, reset {2}")
-  @MethodSource("unreadInput")
-  void requestWithAnUnreadDisconnectIsNotRetried(String name, String unreadInput, boolean reset)
-      throws Exception {
+  @MethodSource("inputBeforeTheDisconnect")
+  void requestFollowedByAnUnreadDisconnectIsNotRetried(
+      String name, String inputBeforeTheDisconnect, boolean reset) throws Exception {
     for (boolean disconnectsFirst : new boolean[] {true, false}) {
       CountDownLatch disconnected = new CountDownLatch(disconnectsFirst ? 1 : 0);
-      CountDownLatch upstreamMayRespond = new CountDownLatch(1);
+      CountDownLatch releaseUpstream = new CountDownLatch(1);
       CountDownLatch upstreamHasResponded = new CountDownLatch(1);
       try (FakeHttpServer upstream =
           new FakeHttpServer(
               (request, connection, out) -> {
-                upstreamMayRespond.await();
+                releaseUpstream.await();
                 disconnected.await();
                 FakeHttpServer.write(
                     out,
@@ -81,25 +83,25 @@
         try (TestClient client = new TestClient(server.address)) {
           client.send(request("1"));
           TestProxy.waitUntil(() -> upstream.requests.size() == 1);
-          CountDownLatch loopMayContinue = blockLoop();
-          upstreamMayRespond.countDown();
+          CountDownLatch releaseLoop = blockLoop();
+          releaseUpstream.countDown();
           if (!disconnectsFirst) {
-            // The loop reads sockets in the order in which they became readable: it decides on the
-            // retry before it reads the disconnect.
+            // The loop reads sockets in the order in which they became readable. The response comes
+            // first, so that the retry is decided before the disconnect is read.
             upstreamHasResponded.await();
           }
-          client.send(unreadInput).disconnect(reset);
+          client.send(inputBeforeTheDisconnect).disconnect(reset);
           disconnected.countDown();
           upstreamHasResponded.await();
-          loopMayContinue.countDown();
+          releaseLoop.countDown();
         }
         TestProxy.waitUntil(() -> server.openConnections() == 0);
-        assertNextIsServed(server, upstream, 2);
+        assertNextClientIsServed(server, upstream, 2);
       }
     }
   }
 
-  static Stream<Arguments> waysToDisconnect() {
+  static Stream<Arguments> disconnectCases() {
     return Stream.of(true, false)
         .flatMap(
             cancels ->
@@ -110,9 +112,12 @@
                                 .map(read -> Arguments.of(cancels, reset, read))));
   }
 
-  /** Capacity becomes available after the disconnect was read, or while it is unread. */
+  /**
+   * The request is queued while its only endpoint drains. The endpoint becomes ready again after
+   * the disconnect was read, or while it is unread.
+   */
   @ParameterizedTest(name = "cancel {0}, reset {1}, read {2}")
-  @MethodSource("waysToDisconnect")
+  @MethodSource("disconnectCases")
   void queuedRequestIsNotForwardedAfterADisconnect(
       boolean cancels, boolean reset, boolean disconnectIsRead) throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
@@ -124,7 +129,7 @@
             "opens the connections that the next request uses");
         server.updateEndpoint(0, upstream, EndpointStatus.DRAINING).get();
         client.send(request("2"));
-        TestProxy.waitUntil(() -> arrivedRequestIds.contains("2"));
+        TestProxy.waitUntil(() -> receivedRequestIds.contains("2"));
         disconnect(
             client,
             reset,
@@ -132,23 +137,27 @@
             () -> server.updateEndpoint(0, upstream, EndpointStatus.READY));
       }
       TestProxy.waitUntil(() -> server.openConnections() == 0);
-      assertNextIsServed(server, upstream, 2);
+      assertNextClientIsServed(server, upstream, 2);
       assertEquals(List.of(), List.copyOf(server.defects));
     }
   }
 
-  /** One upstream is at its concurrency limit, and the other has rejected the request. */
+  /**
+   * The retry is queued because one upstream has rejected the request and the other is at its
+   * concurrency limit. Capacity becomes available after the disconnect was read, or while it is
+   * unread.
+   */
   @ParameterizedTest(name = "cancel {0}, reset {1}, read {2}")
-  @MethodSource("waysToDisconnect")
-  void requestQueuedForItsRetryIsNotForwardedAfterADisconnect(
+  @MethodSource("disconnectCases")
+  void queuedRetryIsNotForwardedAfterADisconnect(
       boolean cancels, boolean reset, boolean disconnectIsRead) throws Exception {
     int concurrencyLimit = 8;
-    CountDownLatch upstreamMayRespond = new CountDownLatch(1);
+    CountDownLatch releaseUpstream = new CountDownLatch(1);
     CountDownLatch upstreamHasResponded = new CountDownLatch(concurrencyLimit);
     try (FakeHttpServer fullUpstream =
             new FakeHttpServer(
                 (request, connection, out) -> {
-                  upstreamMayRespond.await();
+                  releaseUpstream.await();
                   FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
                   upstreamHasResponded.countDown();
                 });
@@ -166,7 +175,7 @@
         client.send(request("retried"));
         TestProxy.waitUntil(
             () ->
-                endEvents.stream()
+                disconnectAndAttemptEvents.stream()
                     .anyMatch(
                         event ->
                             event instanceof AttemptCompleted attempt
@@ -176,7 +185,7 @@
             reset,
             disconnectIsRead,
             () -> {
-              upstreamMayRespond.countDown();
+              releaseUpstream.countDown();
               TestProxy.awaitLatch(upstreamHasResponded);
             });
         for (TestClient otherClient : otherClients) {
@@ -186,58 +195,69 @@
       }
       TestProxy.waitUntil(() -> server.openConnections() == 0);
       server.updateEndpoint(1, rejectingUpstream, EndpointStatus.REMOVED).get();
-      assertNextIsServed(server, fullUpstream, concurrencyLimit + 1);
+      assertNextClientIsServed(server, fullUpstream, concurrencyLimit + 1);
       assertEquals(1, rejectingUpstream.requests.size());
       assertEquals(List.of(), List.copyOf(server.defects));
     }
   }
 
-  /** Disconnects and frees capacity: after the disconnect was read, or while it is unread. */
+  /**
+   * Disconnects the client and frees capacity, after the event loop has read the disconnect or
+   * while the disconnect is unread.
+   */
   private void disconnect(
       TestClient client, boolean reset, boolean disconnectIsRead, Runnable freeCapacity)
       throws Exception {
     if (disconnectIsRead) {
       client.disconnect(reset);
-      TestProxy.waitUntil(() -> endEvents.stream().anyMatch(ClientDisconnected.class::isInstance));
+      TestProxy.waitUntil(
+          () -> disconnectAndAttemptEvents.stream().anyMatch(ClientDisconnected.class::isInstance));
       freeCapacity.run();
     } else {
-      CountDownLatch loopMayContinue = blockLoop();
+      CountDownLatch releaseLoop = blockLoop();
       freeCapacity.run();
       client.disconnect(reset);
-      loopMayContinue.countDown();
+      releaseLoop.countDown();
     }
   }
 
-  /** The event loop finds the connection up and the disconnect unread, in this order. */
+  /**
+   * The event loop is blocked from the start of the connect to the upstream until the client has
+   * disconnected. It then finds the connection established, with the disconnect still unread.
+   */
   @ParameterizedTest(name = "{0}, reset {2}")
-  @MethodSource("unreadInput")
-  void requestWhoseConnectionComesUpAfterADisconnectIsNotForwarded(
-      String name, String unreadInput, boolean reset) throws Exception {
+  @MethodSource("inputBeforeTheDisconnect")
+  void requestIsNotForwardedIfTheUpstreamConnectCompletesAfterADisconnect(
+      String name, String inputBeforeTheDisconnect, boolean reset) throws Exception {
     for (boolean cancels : new boolean[] {true, false}) {
       try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
         TestDownstreamServer server = start(cancels, upstream);
-        CountDownLatch loopMayContinue = new CountDownLatch(1);
-        // Blocks the loop after the task that connects, which the decision to forward adds.
+        CountDownLatch releaseLoop = new CountDownLatch(1);
+        // Blocks the loop after the connect. The connect runs as a task that is added after this
+        // runnable; the nested execute puts the blocking task behind it.
         beforeRequest =
-            () -> loop.execute(() -> loop.execute(() -> TestProxy.awaitLatch(loopMayContinue)));
+            () -> loop.execute(() -> loop.execute(() -> TestProxy.awaitLatch(releaseLoop)));
         try (TestClient client = new TestClient(server.address)) {
           client.send(request("1"));
           TestProxy.waitUntil(() -> upstream.connections.size() == 1);
-          client.send(unreadInput).disconnect(reset);
+          client.send(inputBeforeTheDisconnect).disconnect(reset);
           beforeRequest = () -> {};
-          loopMayContinue.countDown();
+          releaseLoop.countDown();
         }
         TestProxy.waitUntil(() -> server.openConnections() == 0);
-        assertNextIsServed(server, upstream, 1);
+        assertNextClientIsServed(server, upstream, 1);
       }
     }
   }
 
-  /** A penalty pauses reading: a request that is read after it may have a disconnect behind it. */
+  /**
+   * The penalty for an invalid request pauses reading, so the next request may be read only when
+   * its client has already disconnected.
+   */
   @ParameterizedTest(name = "{0}, reset {2}")
-  @MethodSource("unreadInput")
-  void requestReadAfterAPenaltyIsNotForwardedAfterADisconnect(
-      String name, String unreadInput, boolean reset) throws Exception {
+  @MethodSource("inputBeforeTheDisconnect")
+  void requestReadAfterAPenaltyIsNotForwardedIfItsClientHasDisconnected(
+      String name, String inputBeforeTheDisconnect, boolean reset) throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestDownstreamServer server = start(upstream);
       try (TestClient client = new TestClient(server.address)) {
@@ -246,12 +266,12 @@
             client.exchange(request("1")).status(),
             "opens the connections that the next request uses");
         assertEquals(400, client.exchange(request("2").replace("acme", "nobody")).status());
-        CountDownLatch loopMayContinue = blockLoop();
-        client.send(request("3")).send(unreadInput).disconnect(reset);
-        loopMayContinue.countDown();
+        CountDownLatch releaseLoop = blockLoop();
+        client.send(request("3")).send(inputBeforeTheDisconnect).disconnect(reset);
+        releaseLoop.countDown();
       }
       TestProxy.waitUntil(() -> server.openConnections() == 0);
-      assertNextIsServed(server, upstream, 2);
+      assertNextClientIsServed(server, upstream, 2);
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/IdleClients.java
+++ b/src/test/java/loadbalancer/proxy/IdleClients.java
@@ -8,21 +8,24 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Many clients that each send one text on a connection of their own and then stay idle. */
+/**
+ * Many client connections that each send a fixed text once and then stay open without sending more.
+ * A daemon thread polls all of them until {@link #close}.
+ */
 public final class IdleClients implements Closeable {
 
-  /** Sends nothing. */
+  /** The text of a client that sends nothing. */
   public static final String NO_BYTES = "";
 
-  /** Sends a part of a request head. */
+  /** The text of a client that sends part of a request head. */
   public static final String PARTIAL_HEAD = "GET /look HTTP/1.1\r\nHost: h\r\n";
 
-  /** Sends one complete readiness request. */
+  /** The text of a client that sends one complete readiness request. */
   public static final String READINESS_REQUEST = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
 
   private static final long POLL_PERIOD_MILLIS = 5;
 
-  /** One client: its socket and the rest of the text that it has not sent yet. */
+  /** One client connection and the part of its text that has not been sent yet. */
   private static final class Client {
     private final SocketChannel socket = SocketChannel.open();
     private final ByteBuffer unsent;
@@ -33,21 +36,21 @@
       socket.connect(address);
     }
 
-    /** Sends what it can; whether the server has closed the connection. */
-    boolean isClosedByServer(ByteBuffer scratch) throws IOException {
+    /** Sends and reads without blocking; returns whether the server has closed the connection. */
+    boolean isClosedByServer(ByteBuffer readBuffer) throws IOException {
       try {
         if (!socket.isConnected() && !socket.finishConnect()) {
           return false;
         }
         socket.write(unsent);
-        return socket.read(scratch.clear()) < 0;
+        return socket.read(readBuffer.clear()) < 0;
       } catch (IOException e) {
         return true;
       }
     }
   }
 
-  /** How many connections the server has closed. */
+  /** The number of connections that the server has closed, reset or refused. */
   public final AtomicInteger closedByServer = new AtomicInteger();
 
   private final Client[] clients;
@@ -55,11 +58,13 @@
   private volatile boolean closing;
 
   /**
-   * Opens connections.
+   * Starts to connect.
    *
-   * @param count how many
-   * @param reconnect whether a new connection replaces each that the server closes
-   * @param texts sent in turn, one on each connection
+   * @param address the address of the server
+   * @param count the number of connections
+   * @param reconnect whether to replace each connection that the server closes by a new one
+   * @param texts the texts to send; connection i sends text i modulo their number
+   * @throws IOException if a socket cannot be created
    */
   public IdleClients(InetSocketAddress address, int count, boolean reconnect, String... texts)
       throws IOException {
@@ -71,10 +76,10 @@
         new Thread(
             () -> {
               try {
-                ByteBuffer scratch = ByteBuffer.allocate(1024);
+                ByteBuffer readBuffer = ByteBuffer.allocate(1024);
                 while (!closing) {
                   for (int i = 0; i < count; i++) {
-                    if (clients[i] != null && clients[i].isClosedByServer(scratch)) {
+                    if (clients[i] != null && clients[i].isClosedByServer(readBuffer)) {
                       clients[i].socket.close();
                       clients[i] = reconnect ? new Client(address, texts[i % texts.length]) : null;
                       closedByServer.incrementAndGet();
@@ -83,7 +88,7 @@
                   Thread.sleep(POLL_PERIOD_MILLIS);
                 }
               } catch (IOException | InterruptedException e) {
-                // Expected: the test has ended.
+                // Expected when the sockets are closed at the end of a test.
               }
             },
             "idle clients");
--- a/src/test/java/loadbalancer/proxy/MalformedRequestTest.java
+++ b/src/test/java/loadbalancer/proxy/MalformedRequestTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Requests that break the protocol get a 4xx, and other clients are served. */
+/** Tests that requests that violate the protocol get a 4xx, and that other clients are served. */
 class MalformedRequestTest {
 
   static Stream<Arguments> malformedRequests() {
@@ -41,7 +41,7 @@
 
   @ParameterizedTest
   @MethodSource("malformedRequests")
-  void malformedRequestGetsItsStatusAndTheNextClientIsServed(int status, String request)
+  void malformedRequestGets4xxAndTheNextClientIsServed(int status, String request)
       throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
@@ -50,13 +50,13 @@
         assertEquals(status, client.exchange(request).status());
         assertEquals(
             200, nextClient.exchange(TestClient.idempotentRequest("1", 15_000, "")).status());
-        assertEquals(1, upstream.requests.size(), "none of the malformed request was forwarded");
+        assertEquals(1, upstream.requests.size(), "the malformed request must not be forwarded");
       }
     }
   }
 
   @Test
-  void pipelinedRequestIsDiscardedAndTheConnectionClosedAfterTheFirstResponse() throws Exception {
+  void pipelinedRequestIsDiscardedAndTheConnectionIsClosedAfterTheFirstResponse() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
       TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
       try (TestClient client = new TestClient(proxy.address)) {
@@ -71,12 +71,12 @@
   }
 
   @Test
-  void requestWithTheIdOfAnOpenRequestGets409AndTheFirstIsServed() throws Exception {
-    CountDownLatch upstreamMayRespond = new CountDownLatch(1);
+  void requestWithTheIdOfARequestInFlightGets409AndTheFirstIsServed() throws Exception {
+    CountDownLatch releaseUpstream = new CountDownLatch(1);
     try (FakeHttpServer upstream =
         new FakeHttpServer(
             (request, connection, out) -> {
-              upstreamMayRespond.await();
+              releaseUpstream.await();
               FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
             })) {
       TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
@@ -85,7 +85,7 @@
         first.send(TestClient.idempotentRequest("1", 15_000, ""));
         TestProxy.waitUntil(() -> upstream.requests.size() == 1);
         assertEquals(409, second.exchange(TestClient.idempotentRequest("1", 15_000, "")).status());
-        upstreamMayRespond.countDown();
+        releaseUpstream.countDown();
         assertEquals("fine", first.readResponse().body());
       }
     }
--- a/src/test/java/loadbalancer/proxy/TestClient.java
+++ b/src/test/java/loadbalancer/proxy/TestClient.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** One client connection that writes any bytes and reads HTTP responses. */
+/** A blocking client connection that sends arbitrary text and reads HTTP responses. */
 public final class TestClient implements Closeable {
 
   private static final int TIMEOUT_MILLIS = 30_000;
@@ -18,49 +18,60 @@
   private final Socket socket = new Socket();
   private final DataInputStream input;
 
-  /** A response: its status, its head in lower case, and its body. */
+  /**
+   * An HTTP response.
+   *
+   * @param status the status code
+   * @param head the status line and headers, in lower case
+   * @param body the body, decoded as UTF-8
+   */
   public record Response(int status, String head, String body) {}
 
-  /** Connects to a server. */
+  /** Connects to a server; connecting and each read time out after 30 s. */
   public TestClient(InetSocketAddress address) throws IOException {
     socket.connect(address, TIMEOUT_MILLIS);
     socket.setSoTimeout(TIMEOUT_MILLIS);
     input = new DataInputStream(socket.getInputStream());
   }
 
-  /** Writes any text. */
+  /** Sends the text as it is, which need not be a valid request. */
   TestClient send(String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     return this;
   }
 
-  /** Reads one response with a Content-Length; times out after 30 s. */
+  /** Reads one response, which must have a Content-Length. */
   Response readResponse() throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
       head.append((char) input.readUnsignedByte());
     }
-    String lower = head.toString().toLowerCase(Locale.ROOT);
-    int lengthStart = lower.indexOf("content-length:") + "content-length:".length();
-    int lengthEnd = lower.indexOf('\r', lengthStart);
-    byte[] body = new byte[Integer.parseInt(lower.substring(lengthStart, lengthEnd).trim())];
+    String lowerCaseHead = head.toString().toLowerCase(Locale.ROOT);
+    int lengthStart = lowerCaseHead.indexOf("content-length:") + "content-length:".length();
+    int lengthEnd = lowerCaseHead.indexOf('\r', lengthStart);
+    byte[] body =
+        new byte[Integer.parseInt(lowerCaseHead.substring(lengthStart, lengthEnd).trim())];
     input.readFully(body);
     return new Response(
-        Integer.parseInt(lower.substring(9, 12)), lower, new String(body, StandardCharsets.UTF_8));
+        Integer.parseInt(lowerCaseHead.substring(9, 12)),
+        lowerCaseHead,
+        new String(body, StandardCharsets.UTF_8));
   }
 
-  /** Writes a request and reads the response to it. */
+  /** Sends a request and reads one response. */
   public Response exchange(String request) throws IOException {
     return send(request).readResponse();
   }
 
   /**
-   * Ends the connection, by a TCP reset or by a FIN behind the sent data. Returns once the end has
-   * reached the peer's socket: on a loaded machine it may be delivered later than it is sent, and
-   * an event loop that the test blocks and releases would run ahead of it.
+   * Closes the connection and waits until the close has reached the server's socket. On a loaded
+   * machine it may be delivered with a delay, so that an event loop that the test blocks and
+   * releases could run before the close has arrived.
+   *
+   * @param reset whether to close by a TCP reset instead of a FIN after the sent data
    */
   void disconnect(boolean reset) throws IOException {
-    // A lingering close returns once the peer's kernel has acknowledged the FIN.
+    // With a linger time above 0, close returns when the peer's kernel has acknowledged the FIN.
     socket.setSoLinger(true, reset ? 0 : TIMEOUT_MILLIS / 1_000);
     socket.close();
     if (reset) {
@@ -68,7 +79,10 @@
     }
   }
 
-  /** A reset is not acknowledged, but loopback delivers in order: a later connect follows it. */
+  /**
+   * Waits until a reset that was sent before has been delivered. A reset is not acknowledged, but
+   * loopback delivers in order, so a later connect completes only after it.
+   */
   private static void awaitLoopbackDelivery() throws IOException {
     try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         Socket later = new Socket(listener.getInetAddress(), listener.getLocalPort())) {
@@ -76,12 +90,15 @@
     }
   }
 
-  /** Closes the sending half of the connection only: a response could still be read. */
+  /** Half-closes the connection: sends a FIN, while responses can still be read. */
   void shutdownOutput() throws IOException {
     socket.shutdownOutput();
   }
 
-  /** Waits until the server closes this connection; false if it sends data or stays silent. */
+  /**
+   * Waits until the server closes this connection; returns false if it sends data or does neither
+   * within 30 s.
+   */
   boolean isClosedByServer() {
     try {
       return input.read() < 0;
@@ -96,9 +113,11 @@
   }
 
   /**
-   * A request of the idempotent class "look".
+   * Returns a request of class "look", which is idempotent.
    *
-   * @param moreHeaders further header lines, each ended by CRLF
+   * @param id the correlation id
+   * @param timeLeftMillis the time limit that the request announces, in milliseconds
+   * @param moreHeaders further header lines, each terminated by CRLF
    */
   public static String idempotentRequest(String id, long timeLeftMillis, String moreHeaders) {
     return "GET /look/a?b=c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: "
@@ -111,7 +130,10 @@
         + "\r\n";
   }
 
-  /** A request of class "order" (with an idempotency key, deduplicated in a cell) with a body. */
+  /**
+   * Returns a request with a body and an idempotency key, of class "order", which is deduplicated
+   * within a cell.
+   */
   static String keyedRequest(String id, long timeLeftMillis) {
     return "POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: "
         + id
--- a/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
+++ b/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
@@ -26,29 +26,39 @@
 import loadbalancer.proxy.upstream.ConnectionLimits;
 import loadbalancer.proxy.upstream.UpstreamConnectionPools;
 
-/** The downstream server with the real policy behind it, on an event loop that a test may block. */
+/**
+ * A {@link DownstreamServer} with the real coordinator and policy, on an event loop that a test can
+ * block. Methods that return a value or change the state wait for the event loop, except {@link
+ * #updateEndpoint}.
+ */
 final class TestDownstreamServer {
 
-  /** Its limit on connections. */
+  /** The maximum number of open client connections. */
   static final int MAX_CONNECTIONS = 100;
 
   /** The address that clients connect to. */
   final InetSocketAddress address;
 
-  /** The policy's defects that the coordinator has reported. */
+  /** Exceptions that the coordinator has reported as defects of the policy. */
   final Queue<RuntimeException> defects = new ConcurrentLinkedQueue<>();
 
   private final EventLoop loop;
   private final RequestCoordinator coordinator;
   private final DownstreamServer server;
 
-  /** Listens; {@code eventListener} receives each event ahead of the policy. */
+  /**
+   * Starts a server.
+   *
+   * @param loop serves all connections
+   * @param eventListener receives each event before the policy does, on the event loop
+   * @param upstreams the initial endpoint list, named s-0, s-1, ...
+   */
   TestDownstreamServer(EventLoop loop, Consumer<Event> eventListener, FakeHttpServer... upstreams)
       throws Exception {
     this(loop, eventListener, configuration -> configuration, upstreams);
   }
 
-  /** The same with a changed configuration. */
+  /** Starts a server; {@code configurationChange} is applied to the configuration's JSON text. */
   TestDownstreamServer(
       EventLoop loop,
       Consumer<Event> eventListener,
@@ -89,8 +99,12 @@
   }
 
   /**
-   * Submits a change of the endpoint list: one entry, named s- and this number. The future
-   * completes once the event loop has handled it.
+   * Submits an update of the endpoint list with one entry. The returned future completes when the
+   * event loop has applied it.
+   *
+   * @param number the number of the endpoint, whose name is {@code s-NUMBER}
+   * @param upstream the server at the endpoint's address
+   * @param status the new status of the endpoint
    */
   Future<?> updateEndpoint(int number, FakeHttpServer upstream, EndpointStatus status) {
     EndpointDescriptor descriptor =
@@ -102,12 +116,12 @@
                     8, false, List.of(new EndpointList.Endpoint(upstream.address(), descriptor)))));
   }
 
-  /** How many client connections are open. */
+  /** Returns the number of open client connections. */
   int openConnections() {
     return onLoop(server::openConnections);
   }
 
-  /** How many connections have received a part of a request. */
+  /** Returns the number of connections that have received part of a request. */
   long partialRequests() {
     return onLoop(
         () ->
@@ -116,7 +130,7 @@
                 .count());
   }
 
-  /** Starts the graceful shutdown. */
+  /** Begins the graceful shutdown: readiness checks fail from now on. */
   void startDraining() {
     onLoop(
         () -> {
@@ -125,7 +139,7 @@
         });
   }
 
-  /** Closes idle connections and marks the others to close after their response. */
+  /** Closes idle connections, and the others after their next response. */
   void closeIdleConnections() {
     onLoop(
         () -> {
@@ -134,7 +148,7 @@
         });
   }
 
-  /** Ends connections whose request is not complete. */
+  /** Closes connections without a request in flight, after a 408 where part of one has arrived. */
   void closeIncompleteRequests() {
     onLoop(
         () -> {
--- a/src/test/java/loadbalancer/proxy/downstream/ConnectionStateTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ConnectionStateTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The states of a client connection and their transitions. */
+/** Tests the transitions of {@link ConnectionState} and its predicates, for every state. */
 class ConnectionStateTest {
 
   @ParameterizedTest
@@ -15,7 +15,7 @@
     "IN_FLIGHT_DISCARDING, CLOSING",
     "CLOSING, CLOSING"
   })
-  void connectionClosesAfterARequestIfItDiscardsInput(
+  void endOfRequestClosesTheConnectionIfInputIsDiscarded(
       ConnectionState before, ConnectionState after) {
     assertEquals(after, before.afterRequest());
   }
@@ -27,7 +27,7 @@
     "IN_FLIGHT_DISCARDING, IN_FLIGHT_DISCARDING",
     "CLOSING, CLOSING"
   })
-  void discardingInputKeepsARequestInFlight(ConnectionState before, ConnectionState after) {
+  void discardingInputKeepsTheRequestInFlight(ConnectionState before, ConnectionState after) {
     assertEquals(after, before.discardingInput());
     assertEquals(before.hasRequestInFlight(), after.hasRequestInFlight());
   }
@@ -39,7 +39,7 @@
     "IN_FLIGHT_DISCARDING, true, true",
     "CLOSING, false, true"
   })
-  void eachStateHasARequestInFlightOrDiscardsInputAsNamed(
+  void predicatesMatchTheState(
       ConnectionState state, boolean hasRequestInFlight, boolean isDiscardingInput) {
     assertEquals(hasRequestInFlight, state.hasRequestInFlight());
     assertEquals(isDiscardingInput, state.isDiscardingInput());
