--- a/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
+++ b/src/test/java/loadbalancer/proxy/TestDownstreamServer.java
@@ -131,7 +131,7 @@
   }
 
   /** Begins the graceful shutdown: readiness checks fail from now on. */
-  void startDraining() {
+  void startGracefulShutdown() {
     onLoop(
         () -> {
           server.beginGracefulShutdown();
