--- a/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
@@ -60,10 +60,7 @@
     return isAwaitingRequest() && !times.hasRequestStarted();
   }
 
-  /**
-   * Returns whether the connection can receive a request, part of which may have arrived: no
-   * request is in flight and the connection is not closing.
-   */
+  /** Returns whether no complete request is in flight and the connection is not closing. */
   public boolean isAwaitingRequest() {
     return state == ConnectionState.AWAITING_REQUEST;
   }
@@ -108,10 +105,7 @@
     context.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
   }
 
-  /**
-   * Accepts the bytes of the next request. Counts and discards bytes that arrive while a request is
-   * in flight or the connection is closing.
-   */
+  /** Accepts the bytes of the next request; discards bytes that follow a request in flight. */
   @Override
   public boolean accepts(ByteBuf bytes) {
     if (isAwaitingRequest()) {
@@ -132,10 +126,8 @@
     if (discarded > 0) {
       discard(discarded);
     } else if (discarded < 0) {
-      // The return value reports the disconnect to the coordinator. A notification in
-      // channelInactive would come too late: by then another connection may have submitted a
-      // request
-      // with the same id, and the notification would cancel that one.
+      // The return value reports the disconnect. channelInactive would report it too late: another
+      // connection may have submitted a request with the same id by then.
       state = state.afterRequest();
       abort();
     }
@@ -148,10 +140,8 @@
     discardedInput.add(bytes);
     if (discardedInput.exceedsLimit() && state.hasRequestInFlight()) {
       String requestId = requestInFlightId;
-      respond(
-          ResponseFactory.clientError(
-              HttpResponseStatus.BAD_REQUEST,
-              "more than 64 KiB received between a request and its response"));
+      String explanation = "more than 64 KiB received between a request and its response";
+      respond(ResponseFactory.clientError(HttpResponseStatus.BAD_REQUEST, explanation));
       server.clientDisconnected(requestId);
     }
   }
@@ -171,8 +161,7 @@
 
   private void receive(HttpObject message) throws InvalidRequestException, IOException {
     if (message.decoderResult().isFailure()) {
-      throw new InvalidRequestException(
-          HttpResponseStatus.BAD_REQUEST.code(), "malformed HTTP/1.1 request");
+      throw new InvalidRequestException(HttpResponseStatus.BAD_REQUEST.code(), "malformed request");
     }
     if (message instanceof HttpRequest head) {
       startRequest(head);
@@ -186,8 +175,7 @@
 
   private void startRequest(HttpRequest head) throws InvalidRequestException {
     if (state.hasRequestInFlight()) {
-      // Pipelining is not supported: the request in flight still gets its response, after which the
-      // connection closes. The pipelined request is discarded.
+      // Pipelining: the request in flight is still served, and the connection closes after that.
       isKeepAlive = false;
       state = state.discardingInput();
       return;
@@ -208,8 +196,7 @@
       submit(server.requestParser().parse(head, assembler.body()));
       updateAutoRead();
     } catch (InvalidRequestException e) {
-      // A response to HEAD must have no body: the client would take one for the start of the next
-      // response.
+      // A response to HEAD has no body: the client would parse it as the next response.
       String explanation = head.method().equals(HttpMethod.HEAD) ? "" : e.getMessage();
       respond(ResponseFactory.clientError(HttpResponseStatus.valueOf(e.status()), explanation));
       readPenalty.start(context.executor(), this::updateAutoRead);
@@ -222,16 +209,15 @@
     state = ConnectionState.IN_FLIGHT;
     if (!server.submit(request, this)) {
       state = state.afterRequest();
-      throw new InvalidRequestException(
-          HttpResponseStatus.CONFLICT.code(),
-          RequestHeaders.CORRELATION_ID + ": a request with this id is in flight");
+      String explanation = RequestHeaders.CORRELATION_ID + ": a request with this id is in flight";
+      throw new InvalidRequestException(HttpResponseStatus.CONFLICT.code(), explanation);
     }
   }
 
   /**
-   * Rejects invalid or incomplete input and stops receiving requests; the connection closes after
-   * its last response. A request in flight still gets its own response, in which case the status
-   * given here is not sent.
+   * Responds to invalid or incomplete input and stops receiving requests. If a request is in
+   * flight, the given status is not sent: that request gets its own response, which is then the
+   * last one.
    */
   private void rejectInput(HttpResponseStatus status, String explanation) {
     isKeepAlive = false;
--- a/src/main/java/loadbalancer/proxy/downstream/DiscardedInput.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DiscardedInput.java
@@ -5,8 +5,8 @@
 
 /**
  * Counts the discarded input of one connection. Input that follows a request in flight is read and
- * discarded, because a disconnect is detected only by reading. The limit bounds the work that a
- * client can cause this way. Not thread-safe: for use on the event loop.
+ * discarded, because a disconnect is detected only by reading. A client that sends more than the
+ * limit gets a 400 instead. Not thread-safe: for use on the event loop.
  */
 final class DiscardedInput {
 
