--- a/src/main/java/loadbalancer/proxy/downstream/DiscardedInput.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DiscardedInput.java
@@ -1,7 +1,7 @@
 package loadbalancer.proxy.downstream;
 
 import io.netty.channel.Channel;
-import loadbalancer.proxy.transport.PeekableSocketChannel;
+import loadbalancer.proxy.transport.DirectReadSocketChannel;
 
 /**
  * Counts the discarded input of one connection. Input that follows a request in flight is read and
@@ -32,7 +32,7 @@
    */
   int skipUnread(Channel channel) {
     int bytesUntilOverLimit = (int) (MAX_DISCARDED_BYTES + 1 - discardedBytes);
-    if (bytesUntilOverLimit > 0 && channel instanceof PeekableSocketChannel socket) {
+    if (bytesUntilOverLimit > 0 && channel instanceof DirectReadSocketChannel socket) {
       return socket.skip(bytesUntilOverLimit);
     }
     return 0;
