--- a/src/main/java/loadbalancer/policy/settings/PolicySettings.java
+++ b/src/main/java/loadbalancer/policy/settings/PolicySettings.java
@@ -41,84 +41,55 @@
    * @throws IllegalArgumentException if a setting is out of range
    */
   public PolicySettings {
-    check(groupSize > 0, "group-size: must be above 0, got " + groupSize);
+    checkAboveZero("group-size", groupSize);
     check(!requestClasses.isEmpty(), "categories: must have at least one entry, got 0");
     requestClasses.forEach(PolicySettings::check);
     tenants.forEach(PolicySettings::check);
     check(limits);
     check(serviceRules);
-    check(
-        clockResolutionNanos >= 0,
-        "resolution-ns: must not be negative, got " + clockResolutionNanos);
+    checkNotNegative("resolution-ns", clockResolutionNanos);
   }
 
   private static void check(RequestClass requestClass) {
     String ofCategory = " of category " + requestClass.name();
-    check(
-        requestClass.latencyObjectiveNanos() > 0,
-        "aim-ns" + ofCategory + ": must be above 0, got " + requestClass.latencyObjectiveNanos());
-    check(
-        requestClass.deadlineNanos() > 0,
-        "deadline-ns" + ofCategory + ": must be above 0, got " + requestClass.deadlineNanos());
-    check(
-        requestClass.deduplicationWindowNanos() >= 0,
-        "window-ns"
-            + ofCategory
-            + ": must not be negative, got "
-            + requestClass.deduplicationWindowNanos());
-    check(
-        requestClass.priorityWeight() >= 0,
-        "gain" + ofCategory + ": must not be negative, got " + requestClass.priorityWeight());
-    check(
-        requestClass.lateFraction() >= 0,
-        "late-worth" + ofCategory + ": must not be negative, got " + requestClass.lateFraction());
+    checkAboveZero("aim-ns" + ofCategory, requestClass.latencyObjectiveNanos());
+    checkAboveZero("deadline-ns" + ofCategory, requestClass.deadlineNanos());
+    checkNotNegative("window-ns" + ofCategory, requestClass.deduplicationWindowNanos());
+    checkNotNegative("gain" + ofCategory, requestClass.priorityWeight());
+    checkNotNegative("late-worth" + ofCategory, requestClass.lateFraction());
   }
 
   private static void check(Tenant tenant) {
     String ofProject = " of project " + tenant.name();
-    check(
-        tenant.capacityShare() >= 0,
-        "portion" + ofProject + ": must not be negative, got " + tenant.capacityShare());
-    check(
-        tenant.quotaPerSecond() >= 0,
-        "quota-per-s" + ofProject + ": must not be negative, got " + tenant.quotaPerSecond());
+    checkNotNegative("portion" + ofProject, tenant.capacityShare());
+    checkNotNegative("quota-per-s" + ofProject, tenant.quotaPerSecond());
   }
 
   private static void check(Limits limits) {
-    check(
-        limits.maxAttempts() > 0,
-        "limits.max-attempts: must be above 0, got " + limits.maxAttempts());
-    check(
-        limits.maxPendingRequests() > 0,
-        "limits.most-held: must be above 0, got " + limits.maxPendingRequests());
-    check(
-        limits.maxRetryAfterNanos() >= 0,
-        "limits.max-retry-after-ns: must not be negative, got " + limits.maxRetryAfterNanos());
+    checkAboveZero("limits.max-attempts", limits.maxAttempts());
+    checkAboveZero("limits.most-held", limits.maxPendingRequests());
+    checkNotNegative("limits.max-retry-after-ns", limits.maxRetryAfterNanos());
   }
 
   private static void check(ServiceRules rules) {
-    check(
-        rules.responseSlackNanos() >= 0,
-        "contract.answer-slack-ns: must not be negative, got " + rules.responseSlackNanos());
-    check(
-        rules.maxPollIntervalNanos() >= 0,
-        "contract.ask-within-ns: must not be negative, got " + rules.maxPollIntervalNanos());
-    check(
-        rules.drainGraceNanos() >= 0,
-        "contract.drain-grace-ns: must not be negative, got " + rules.drainGraceNanos());
+    checkNotNegative("contract.answer-slack-ns", rules.responseSlackNanos());
+    checkNotNegative("contract.ask-within-ns", rules.maxPollIntervalNanos());
+    checkNotNegative("contract.drain-grace-ns", rules.drainGraceNanos());
     check(
         rules.initialCapacityFraction() > 0 && rules.initialCapacityFraction() <= 1,
         "contract.cold-from: must be above 0 and at most 1, got "
             + rules.initialCapacityFraction());
-    check(
-        rules.warmUpNanos() >= 0,
-        "contract.warm-within-ns: must not be negative, got " + rules.warmUpNanos());
-    check(
-        rules.overloadMultiple() > 0,
-        "contract.fall-multiple: must be above 0, got " + rules.overloadMultiple());
-    check(
-        rules.overloadWindowNanos() >= 0,
-        "contract.overload-for-ns: must not be negative, got " + rules.overloadWindowNanos());
+    checkNotNegative("contract.warm-within-ns", rules.warmUpNanos());
+    checkAboveZero("contract.fall-multiple", rules.overloadMultiple());
+    checkNotNegative("contract.overload-for-ns", rules.overloadWindowNanos());
+  }
+
+  private static void checkAboveZero(String field, Number value) {
+    check(value.doubleValue() > 0, field + ": must be above 0, got " + value);
+  }
+
+  private static void checkNotNegative(String field, Number value) {
+    check(value.doubleValue() >= 0, field + ": must not be negative, got " + value);
   }
 
   private static void check(boolean valid, String message) {
