--- a/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
@@ -140,7 +140,7 @@
     discardedInput.add(bytes);
     if (discardedInput.exceedsLimit() && state.hasRequestInFlight()) {
       String requestId = requestInFlightId;
-      String explanation = "more than 64 KiB received between a request and its response";
+      String explanation = DiscardedInput.LIMIT_EXPLANATION;
       respond(ResponseFactory.clientError(HttpResponseStatus.BAD_REQUEST, explanation));
       server.clientDisconnected(requestId);
     }
--- a/src/main/java/loadbalancer/proxy/downstream/DiscardedInput.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DiscardedInput.java
@@ -12,6 +12,10 @@
 
   private static final int MAX_DISCARDED_BYTES = 64 << 10;
 
+  /** The explanation in the response to a client that exceeds the limit. */
+  static final String LIMIT_EXPLANATION =
+      "input while a request is in flight: must be at most " + MAX_DISCARDED_BYTES + " bytes";
+
   private long discardedBytes;
 
   /** Adds to the number of discarded bytes. */
