--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyServer.java
@@ -29,7 +29,7 @@
  * components and controls start, reload and shutdown. The components run on a single event-loop
  * thread; the methods of this class may be called on any other thread.
  */
-public final class ProxyServer {
+public final class ProxyServer implements AutoCloseable {
 
   /**
    * Fraction of the process's file descriptors available to client connections. What client and
@@ -185,6 +185,16 @@
         });
   }
 
+  /**
+   * Stops the event loop at once, without a graceful shutdown: closes all connections and stops all
+   * timers and the watch. For programs that outlive the proxy; a process that serves traffic uses
+   * {@link #shutDown}.
+   */
+  @Override
+  public void close() {
+    loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+  }
+
   private void completeShutdown() {
     coordinator.logStatistics();
     EventLog.info("lifecycle: shutdown complete name=" + configuration.name());
--- a/src/test/java/loadbalancer/proxy/AttemptOutcomeTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptOutcomeTest.java
@@ -105,8 +105,8 @@
   void statusTellsWhetherTheRequestMayHaveRun(
       String name, int status, FakeHttpServer.RequestHandler upstreamHandler) throws Exception {
     try (FakeHttpServer upstream = new FakeHttpServer(upstreamHandler)) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(proxy.address)) {
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient client = new TestClient(proxy.address)) {
         TestClient.Response response = client.exchange(TestClient.keyedRequest("1", 15_000));
         assertEquals(status, response.status());
         assertEquals(status == 200 ? "fine" : "", response.body());
@@ -120,8 +120,8 @@
   void requestIsRejectedIfTheUpstreamRefusesConnections() throws Exception {
     FakeHttpServer upstream = FakeHttpServer.respondingWith("fine");
     upstream.close();
-    TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-    try (TestClient client = new TestClient(proxy.address)) {
+    try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+        TestClient client = new TestClient(proxy.address)) {
       assertEquals(REJECTED_STATUS, client.exchange(TestClient.keyedRequest("1", 15_000)).status());
     }
   }
@@ -129,8 +129,8 @@
   @Test
   void timeoutFailsTheRequestAndItsConnectionIsNotReused() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(proxy.address)) {
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient client = new TestClient(proxy.address)) {
         assertEquals(200, client.exchange(TestClient.keyedRequest("1", 15_000)).status());
         upstream.requestHandler = (request, connection, output) -> {};
         assertEquals(FAILED_STATUS, client.exchange(TestClient.keyedRequest("2", 1_000)).status());
@@ -145,8 +145,8 @@
   @Test
   void requestIsForwardedUnchangedAndItsConnectionIsReused() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(proxy.address)) {
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient client = new TestClient(proxy.address)) {
         client.exchange(TestClient.keyedRequest("1", 15_000));
         client.exchange(TestClient.idempotentRequest("2", 15_000, ""));
       }
@@ -171,8 +171,8 @@
               FakeHttpServer.write(output, FakeHttpServer.okResponse("fine"));
               connection.shutdownOutput();
             })) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(proxy.address)) {
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient client = new TestClient(proxy.address)) {
         for (int i = 1; i <= 3; i++) {
           int expectedConnections = i;
           assertEquals(200, client.exchange(TestClient.keyedRequest("o" + i, 15_000)).status());
@@ -186,8 +186,8 @@
   @Test
   void attemptIsCancelledIfItsClientDisconnects() throws Exception {
     try (FakeHttpServer upstream = new FakeHttpServer((request, connection, output) -> {})) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(proxy.address)) {
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient client = new TestClient(proxy.address)) {
         client.send(TestClient.keyedRequest("1", 15_000));
         TestProxy.waitUntil(() -> upstream.requests.size() == 1);
       }
--- a/src/test/java/loadbalancer/proxy/ClientConnectionLimitsTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientConnectionLimitsTest.java
@@ -27,8 +27,8 @@
 
   @Test
   void connectionWithoutInputIsClosed() throws Exception {
-    TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1);
-    try (TestClient idleClient = new TestClient(proxy.address)) {
+    try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1);
+        TestClient idleClient = new TestClient(proxy.address)) {
       assertTrue(idleClient.isClosedByServer());
     }
   }
@@ -47,8 +47,8 @@
   @MethodSource("incompleteRequests")
   void incompleteRequestGets408AndTheConnectionIsClosed(String incompleteRequest) throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(proxy.address)) {
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient client = new TestClient(proxy.address)) {
         assertEquals(408, client.exchange(incompleteRequest).status());
         assertTrue(client.isClosedByServer());
         assertEquals(0, upstream.requests.size());
@@ -115,8 +115,8 @@
   void ambiguousFramingIsRejectedAndTheConnectionClosed(int status, String request)
       throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(proxy.address);
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient client = new TestClient(proxy.address);
           TestClient nextClient = new TestClient(proxy.address)) {
         assertEquals(status, client.exchange(request).status());
         assertTrue(client.isClosedByServer());
@@ -141,8 +141,8 @@
   @MethodSource("repeatedHeaders")
   void repeatedProtocolHeaderIsRejected(String header) throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(proxy.address)) {
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient client = new TestClient(proxy.address)) {
         assertEquals(
             400,
             client.exchange(KEYED_REQUEST.replace("Host: h", "Host: h\r\n" + header)).status());
@@ -154,8 +154,8 @@
   @Test
   void nextRequestAfterAnInvalidOneIsDelayedAndServed() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(proxy.address)) {
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient client = new TestClient(proxy.address)) {
         assertEquals(
             400,
             client
@@ -173,19 +173,21 @@
   @Test
   void unusedConnectionsAtTheLimitAreClosedSoThatAnotherClientIsServed() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestProxy proxy =
+      try (TestProxy proxy =
           new TestProxy(
               TestProxy.configurationJson(TestProxy.unreachableAddress(), 1, upstream)
-                  .replace("\"sockets\":1024", "\"sockets\":20"));
-      List<TestClient> idleClients = new ArrayList<>();
-      for (int i = 0; i < 40; i++) {
-        idleClients.add(new TestClient(proxy.address));
-      }
-      try (TestClient client = new TestClient(proxy.address)) {
-        assertEquals(200, client.exchange(TestClient.idempotentRequest("1", 15_000, "")).status());
-      }
-      for (TestClient idleClient : idleClients) {
-        idleClient.close();
+                  .replace("\"sockets\":1024", "\"sockets\":20"))) {
+        List<TestClient> idleClients = new ArrayList<>();
+        for (int i = 0; i < 40; i++) {
+          idleClients.add(new TestClient(proxy.address));
+        }
+        try (TestClient client = new TestClient(proxy.address)) {
+          assertEquals(
+              200, client.exchange(TestClient.idempotentRequest("1", 15_000, "")).status());
+        }
+        for (TestClient idleClient : idleClients) {
+          idleClient.close();
+        }
       }
     }
   }
@@ -193,8 +195,8 @@
   @Test
   void disconnectAfterAPipelinedRequestIsDetected() throws Exception {
     try (FakeHttpServer upstream = new FakeHttpServer((request, connection, out) -> {})) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(proxy.address)) {
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient client = new TestClient(proxy.address)) {
         client.send(TestClient.idempotentRequest("1", 15_000, ""));
         TestProxy.waitUntil(() -> upstream.requests.size() == 1);
         client.send(TestClient.idempotentRequest("2", 15_000, ""));
@@ -209,8 +211,8 @@
 
   @Test
   void warmUpPathIsRejectedForClients() throws Exception {
-    TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1);
-    try (TestClient client = new TestClient(proxy.address)) {
+    try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1);
+        TestClient client = new TestClient(proxy.address)) {
       assertEquals(400, client.exchange("GET /live HTTP/1.1\r\nHost: h\r\n\r\n").status());
     }
   }
--- a/src/test/java/loadbalancer/proxy/MalformedRequestTest.java
+++ b/src/test/java/loadbalancer/proxy/MalformedRequestTest.java
@@ -44,8 +44,8 @@
   void malformedRequestGets4xxAndTheNextClientIsServed(int status, String request)
       throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(proxy.address);
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient client = new TestClient(proxy.address);
           TestClient nextClient = new TestClient(proxy.address)) {
         assertEquals(status, client.exchange(request).status());
         assertEquals(
@@ -58,8 +58,8 @@
   @Test
   void pipelinedRequestIsDiscardedAndTheConnectionIsClosedAfterTheFirstResponse() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine")) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(proxy.address)) {
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient client = new TestClient(proxy.address)) {
         client.send(
             TestClient.idempotentRequest("1", 15_000, "")
                 + TestClient.idempotentRequest("2", 15_000, ""));
@@ -79,8 +79,8 @@
               releaseUpstream.await();
               FakeHttpServer.write(out, FakeHttpServer.okResponse("fine"));
             })) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient first = new TestClient(proxy.address);
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient first = new TestClient(proxy.address);
           TestClient second = new TestClient(proxy.address)) {
         first.send(TestClient.idempotentRequest("1", 15_000, ""));
         TestProxy.waitUntil(() -> upstream.requests.size() == 1);
--- a/src/test/java/loadbalancer/proxy/MalformedResponseTest.java
+++ b/src/test/java/loadbalancer/proxy/MalformedResponseTest.java
@@ -63,8 +63,8 @@
   void malformedResponseFailsTheRequestAndClosesTheConnection(String name, String response)
       throws Exception {
     try (FakeHttpServer upstream = new FakeHttpServer(respondWith(response))) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(proxy.address)) {
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient client = new TestClient(proxy.address)) {
         long startNanos = System.nanoTime();
         assertEquals(FAILED_STATUS, client.exchange(TestClient.keyedRequest("1", 20_000)).status());
         assertTrue(
@@ -94,8 +94,8 @@
                   output,
                   FakeHttpServer.okResponse(body) + (body.equals("first") ? unexpectedBytes : ""));
             })) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient first = new TestClient(proxy.address);
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient first = new TestClient(proxy.address);
           TestClient second = new TestClient(proxy.address)) {
         assertEquals("first", first.exchange(TestClient.keyedRequest("1", 15_000)).body());
         assertEquals("second", second.exchange(TestClient.keyedRequest("2", 15_000)).body());
@@ -115,8 +115,8 @@
               firstResponseReceived.await();
               FakeHttpServer.write(output, "H");
             })) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(proxy.address)) {
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient client = new TestClient(proxy.address)) {
         assertEquals("fine", client.exchange(TestClient.keyedRequest("1", 15_000)).body());
         firstResponseReceived.countDown();
         TestProxy.waitUntil(() -> upstream.connectionsClosedByPeer.get() == 1);
@@ -141,8 +141,8 @@
                       + "Content-Length: 4\r\n\r\n"
                       + "fine");
             })) {
-      TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
-      try (TestClient client = new TestClient(proxy.address)) {
+      try (TestProxy proxy = new TestProxy(TestProxy.unreachableAddress(), 1, upstream);
+          TestClient client = new TestClient(proxy.address)) {
         assertEquals("fine", client.exchange(TestClient.keyedRequest("1", 15_000)).body());
       }
     }
--- a/src/test/java/loadbalancer/proxy/TestProxy.java
+++ b/src/test/java/loadbalancer/proxy/TestProxy.java
@@ -13,8 +13,12 @@
 import loadbalancer.config.ProxyConfiguration;
 import loadbalancer.proxy.lifecycle.ProxyServer;
 
-/** Runs a proxy server inside the test process, and helps tests with configuration and waits. */
-public final class TestProxy {
+/**
+ * Runs a proxy server inside the test process, and helps tests with configuration and waits. Each
+ * test closes its proxies: the watch of one that is left running would reach the port of its closed
+ * discovery service, which the fake upstream of a later test may listen on.
+ */
+public final class TestProxy implements AutoCloseable {
 
   /** Far above any normal wait; reached only if the code under test hangs. */
   private static final long MAX_WAIT_NANOS = 30_000_000_000L;
@@ -59,6 +63,12 @@
     waitUntil(() -> readinessStatus() == 200);
   }
 
+  /** Stops the proxy at once. */
+  @Override
+  public void close() {
+    server.close();
+  }
+
   private int readinessStatus() {
     try (TestClient client = new TestClient(address)) {
       return client.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status();
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryRecoveryTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryRecoveryTest.java
@@ -21,6 +21,9 @@
 /** A complete proxy with a fake discovery service: watches recover and list changes take effect. */
 class DiscoveryRecoveryTest {
 
+  /** The policy waits for at most 1 s before it restarts a failed watch. */
+  private static final long LONGER_THAN_ANY_BACKOFF_MILLIS = 1_500;
+
   @Test
   void proxyRetriesAFailedWatchAndFollowsAnEndpointToItsNewAddress() throws Exception {
     try (FakeHttpServer oldEndpoint = FakeHttpServer.respondingWith("before");
@@ -29,8 +32,8 @@
             new FakeHttpServer(
                 (request, connection, output) ->
                     FakeHttpServer.write(output, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
-      TestProxy proxy = new TestProxy(discoveryServer.address(), 1, oldEndpoint);
-      try (TestClient client = new TestClient(proxy.address)) {
+      try (TestProxy proxy = new TestProxy(discoveryServer.address(), 1, oldEndpoint);
+          TestClient client = new TestClient(proxy.address)) {
         assertEquals(
             "before", client.exchange(TestClient.idempotentRequest("1", 15_000, "")).body());
         discoveryServer.requestHandler =
@@ -74,43 +77,45 @@
         FakeHttpServer discoveryServer =
             new FakeHttpServer(
                 (request, connection, output) -> FakeHttpServer.write(output, RESPONSE_HEAD))) {
-      TestProxy proxy =
+      try (TestProxy proxy =
           new TestProxy(
               TestProxy.configurationJson(discoveryServer.address(), 1, oldEndpoint)
-                  .replace("\"sockets\":1024", "\"sockets\":256"));
-      TestProxy.waitUntil(() -> discoveryServer.requests.size() == 1);
-      try (IdleClients idleClients =
-          new IdleClients(proxy.address, 600, true, idleClientRequests)) {
-        TestProxy.waitUntil(() -> idleClients.closedByServer.get() > 0);
-        if (!discoveryStaysSilent) {
-          discoveryServer.requestHandler = (request, connection, output) -> connection.close();
-          discoveryServer.connections.get(0).close();
-          TestProxy.waitUntil(() -> discoveryServer.requests.size() > 2);
-        }
-        discoveryServer.requestHandler =
-            (request, connection, output) -> {
-              FakeHttpServer.write(output, RESPONSE_HEAD);
-              writeChunk(
-                  output,
-                  listJson(
-                      8,
-                      false,
-                      TestProxy.endpointJson("s-0", newEndpoint.address(), "in_service")));
-            };
-        int watchCount = discoveryServer.requests.size();
-        for (int i = 0; discoveryServer.requests.size() == watchCount; i++) {
-          assertEquals(
-              200,
-              responseTo(proxy, TestClient.idempotentRequest("d" + i, 15_000, "")).status(),
-              "served from the configured list");
+                  .replace("\"sockets\":1024", "\"sockets\":256"))) {
+        TestProxy.waitUntil(() -> discoveryServer.requests.size() == 1);
+        try (IdleClients idleClients =
+            new IdleClients(proxy.address, 600, true, idleClientRequests)) {
+          TestProxy.waitUntil(() -> idleClients.closedByServer.get() > 0);
+          if (!discoveryStaysSilent) {
+            discoveryServer.requestHandler = (request, connection, output) -> connection.close();
+            discoveryServer.connections.get(0).close();
+            TestProxy.waitUntil(() -> discoveryServer.requests.size() > 2);
+          }
+          discoveryServer.requestHandler =
+              (request, connection, output) -> {
+                FakeHttpServer.write(output, RESPONSE_HEAD);
+                writeChunk(
+                    output,
+                    listJson(
+                        8,
+                        false,
+                        TestProxy.endpointJson("s-0", newEndpoint.address(), "in_service")));
+              };
+          int watchCount = discoveryServer.requests.size();
+          for (int i = 0; discoveryServer.requests.size() == watchCount; i++) {
+            assertEquals(
+                200,
+                responseTo(proxy, TestClient.idempotentRequest("d" + i, 15_000, "")).status(),
+                "served from the configured list");
+          }
+          int[] requestCount = {0};
+          TestProxy.waitUntil(
+              () ->
+                  responseTo(
+                          proxy, TestClient.idempotentRequest("l" + requestCount[0]++, 15_000, ""))
+                      .body()
+                      .equals("after"));
+          assertEquals(200, responseTo(proxy, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
         }
-        int[] requestCount = {0};
-        TestProxy.waitUntil(
-            () ->
-                responseTo(proxy, TestClient.idempotentRequest("l" + requestCount[0]++, 15_000, ""))
-                    .body()
-                    .equals("after"));
-        assertEquals(200, responseTo(proxy, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
       }
     }
   }
@@ -130,15 +135,36 @@
     try (FakeHttpServer discoveryServer =
         new FakeHttpServer(
             (request, connection, output) -> FakeHttpServer.write(output, RESPONSE_HEAD))) {
-      new TestProxy(
-          TestProxy.configurationJson(discoveryServer.address(), 1).replace("on_request", mode));
-      TestProxy.waitUntil(() -> discoveryServer.requests.size() == 1);
+      String configuration =
+          TestProxy.configurationJson(discoveryServer.address(), 1).replace("on_request", mode);
+      TestProxy proxy = new TestProxy(configuration);
+      try (proxy) {
+        TestProxy.waitUntil(() -> discoveryServer.requests.size() == 1);
+      }
       assertTrue(
           discoveryServer.requests.get(0).startsWith("GET /discovery/hosts?watch=1&after=7 "),
           discoveryServer.requests.get(0));
     }
   }
 
+  @Test
+  void closedProxyEndsItsWatchAndStartsNoOther() throws Exception {
+    try (FakeHttpServer discoveryServer =
+        new FakeHttpServer(
+            (request, connection, output) -> FakeHttpServer.write(output, RESPONSE_HEAD))) {
+      TestProxy proxy = new TestProxy(discoveryServer.address(), 1);
+      try (proxy) {
+        TestProxy.waitUntil(() -> !discoveryServer.requests.isEmpty());
+      }
+      TestProxy.waitUntil(
+          () ->
+              discoveryServer.connectionsClosedByPeer.get() == discoveryServer.connections.size());
+      int watchCount = discoveryServer.requests.size();
+      Thread.sleep(LONGER_THAN_ANY_BACKOFF_MILLIS);
+      assertEquals(watchCount, discoveryServer.requests.size());
+    }
+  }
+
   @Test
   void endpointMissingFromAFullListGetsNoMoreRequests() throws Exception {
     try (FakeHttpServer kept = FakeHttpServer.respondingWith("kept");
@@ -152,11 +178,12 @@
                       listJson(
                           8, true, TestProxy.endpointJson("s-0", kept.address(), "in_service")));
                 })) {
-      TestProxy proxy = new TestProxy(discoveryServer.address(), 1, kept, removed);
-      TestProxy.waitUntil(() -> discoveryServer.requests.size() == 1);
-      try (TestClient client = new TestClient(proxy.address)) {
-        int[] requestCount = {0};
-        TestProxy.waitUntil(() -> allServedByKeptEndpoint(client, requestCount));
+      try (TestProxy proxy = new TestProxy(discoveryServer.address(), 1, kept, removed)) {
+        TestProxy.waitUntil(() -> discoveryServer.requests.size() == 1);
+        try (TestClient client = new TestClient(proxy.address)) {
+          int[] requestCount = {0};
+          TestProxy.waitUntil(() -> allServedByKeptEndpoint(client, requestCount));
+        }
       }
     }
   }
