--- /dev/null
+++ b/src/main/java/loadbalancer/scale/config/ColdSettings.java
@@ -0,0 +1,4 @@
+package loadbalancer.scale.config;
+
+/** The settings of the experiment "cold". */
+public record ColdSettings() {}
--- /dev/null
+++ b/src/main/java/loadbalancer/scale/config/ListSettings.java
@@ -0,0 +1,4 @@
+package loadbalancer.scale.config;
+
+/** The settings of the experiment "list". */
+public record ListSettings() {}
--- /dev/null
+++ b/src/main/java/loadbalancer/scale/config/package-info.java
@@ -0,0 +1,2 @@
+/** The configuration file of a scale run. */
+package loadbalancer.scale.config;
--- /dev/null
+++ b/src/main/java/loadbalancer/scale/experiment/ColdExperiment.java
@@ -0,0 +1,26 @@
+package loadbalancer.scale.experiment;
+
+import java.util.List;
+import java.util.function.DoubleConsumer;
+import loadbalancer.scale.config.ColdSettings;
+import loadbalancer.scale.report.ExperimentResult;
+
+/** The experiment "cold". */
+public final class ColdExperiment implements Experiment {
+
+  /** The name of the experiment in the configuration and the report. */
+  public static final String NAME = "cold";
+
+  /** Creates the experiment; {@code seed} determines everything that is random in it. */
+  public ColdExperiment(ColdSettings settings, long seed) {}
+
+  @Override
+  public String name() {
+    return NAME;
+  }
+
+  @Override
+  public ExperimentResult run(DoubleConsumer progress) {
+    return new ExperimentResult(NAME, List.of(), List.of());
+  }
+}
