--- a/src/main/java/loadbalancer/policy/BoundedLoadPlacement.java
+++ b/src/main/java/loadbalancer/policy/BoundedLoadPlacement.java
@@ -71,6 +71,8 @@
   private final OutlierDetector outlierDetector;
   private final RetrySafety retrySafety;
 
+  private final RingWalk walk;
+
   /** The fallbacks of the current walk; reused, since every attempt walks the ring. */
   private final Fallbacks fallbacks = new Fallbacks();
 
@@ -86,6 +88,7 @@
       SplittableRandom random, EndpointRegistry registry, Constraints constraints) {
     this.random = random;
     this.registry = registry;
+    walk = registry.newRingWalk();
     keySpread = constraints.keySpread();
     loadBound = constraints.loadBound();
     slowStart = constraints.slowStart();
@@ -107,8 +110,7 @@
    * </ol>
    */
   Endpoint place(PendingRequest pending, long nowNanos) {
-    HashRing ring = registry.ring();
-    int position = startPosition(pending, ring);
+    walk.start(keyOf(pending));
     double maxLocalTried = keySpread.maxEndpoints(pending, nowNanos);
     loadBound.updateSharedBounds(nowNanos);
     fallbacks.clear();
@@ -116,8 +118,7 @@
     int visited = 0;
     int localTried = 0;
     while (visited < registry.readyCount() && localTried < maxLocalTried) {
-      Endpoint endpoint = ring.ownerAt(position);
-      position++;
+      Endpoint endpoint = walk.next();
       if (endpoint.lastWalkNumber == walkNumber) {
         continue;
       }
@@ -162,9 +163,9 @@
     return fallbacks.remote == null ? fallbacks.aboveRecentBound : fallbacks.remote;
   }
 
-  private int startPosition(PendingRequest pending, HashRing ring) {
+  private String keyOf(PendingRequest pending) {
     String affinityKey = pending.request.affinityKey();
-    return ring.positionOf(affinityKey == null ? "" + random.nextLong() : affinityKey);
+    return affinityKey == null ? "" + random.nextLong() : affinityKey;
   }
 
   private boolean isEligible(PendingRequest pending, Endpoint endpoint, long nowNanos) {
--- a/src/main/java/loadbalancer/policy/Endpoint.java
+++ b/src/main/java/loadbalancer/policy/Endpoint.java
@@ -27,6 +27,12 @@
   /** The last walk of the hash ring that visited it; set by {@link BoundedLoadPlacement}. */
   long lastWalkNumber;
 
+  /** Its slot in {@link RingMembers} while it owns points of the hash ring. */
+  int ringSlot;
+
+  /** The number of points of the hash ring that it owns; set by {@link HashRing}. */
+  int ringPointCount;
+
   private EndpointDescriptor descriptor;
   private long startedAtNanos;
   private int inFlight;
--- a/src/main/java/loadbalancer/policy/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/policy/EndpointRegistry.java
@@ -1,5 +1,6 @@
 package loadbalancer.policy;
 
+import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
@@ -10,7 +11,6 @@
 import loadbalancer.policy.event.EndpointListUpdate;
 import loadbalancer.policy.event.EndpointStatus;
 import loadbalancer.policy.settings.PolicySettings;
-import loadbalancer.policy.settings.WeightKind;
 
 /**
  * The endpoints that this balancer knows, the hash ring of the ready ones, and their load in
@@ -18,24 +18,19 @@
  * has attempts in flight, and dropped by the first update after that.
  */
 final class EndpointRegistry {
-  /** Keeps keys per endpoint within about 15% of the mean; {@link LoadBound} evens out the rest. */
-  private static final int RING_POINTS_PER_ENDPOINT = 50;
-
-  /** Weights are clamped to this multiple of the median, and to the inverse multiple. */
-  private static final double MAX_RELATIVE_WEIGHT = 4;
+  /** The ring is built anew if more than the ready endpoints divided by this number change. */
+  private static final int REBUILD_DIVISOR = 4;
 
   private final PolicySettings settings;
   private final SplittableRandom random;
   private final long responseWindowNanos;
   private final Map<Long, Endpoint> endpoints = new LinkedHashMap<>();
-  private HashRing ring = new HashRing(List.of(), endpoint -> 0);
+  private final HashRing ring = new HashRing();
+  private final RingPointCounts ringPointCounts;
   private int readyCount;
   private double readyLoad;
   private double localEndpointTrafficFraction;
 
-  /** The median weight of the ready endpoints when there first were any; 0 until then. */
-  private double medianWeight;
-
   /**
    * Creates a registry without endpoints.
    *
@@ -44,6 +39,7 @@
   EndpointRegistry(PolicySettings settings, LatencyObjectives objectives, SplittableRandom random) {
     this.settings = settings;
     this.random = random;
+    ringPointCounts = new RingPointCounts(settings.weightKind());
     responseWindowNanos = objectives.statisticsWindowNanos() / 2;
   }
 
@@ -52,9 +48,9 @@
     return endpoints.values();
   }
 
-  /** The hash ring of the ready endpoints. */
-  HashRing ring() {
-    return ring;
+  /** Creates a walk along the hash ring of the ready endpoints. */
+  RingWalk newRingWalk() {
+    return ring.newWalk();
   }
 
   /** The number of ready endpoints. */
@@ -98,10 +94,12 @@
 
   /** Applies an update of any kind but {@link EndpointListUpdate.Kind#FAILED}. */
   void apply(EndpointListUpdate update, long nowNanos) {
+    List<Endpoint> updated = new ArrayList<>();
     for (EndpointDescriptor descriptor : changesIn(update)) {
-      apply(descriptor, nowNanos);
+      updated.add(apply(descriptor, nowNanos));
     }
-    rebuildRing();
+    updateCounts();
+    updateRing(updated);
     endpoints
         .values()
         .removeIf(
@@ -134,7 +132,7 @@
         last.weight());
   }
 
-  private void apply(EndpointDescriptor descriptor, long nowNanos) {
+  private Endpoint apply(EndpointDescriptor descriptor, long nowNanos) {
     Endpoint endpoint =
         endpoints.computeIfAbsent(
             descriptor.endpointId(),
@@ -150,27 +148,40 @@
       endpoint.slowStartState.reset(random.nextDouble(), nowNanos);
     }
     endpoint.setDescriptor(descriptor);
+    return endpoint;
   }
 
-  private void rebuildRing() {
-    List<Endpoint> members =
-        endpoints.values().stream()
-            .filter(Endpoint::isReady)
-            .sorted(Comparator.comparingLong(endpoint -> endpoint.id))
-            .toList();
+  private void updateCounts() {
+    List<Endpoint> members = readyEndpointsById();
     readyCount = members.size();
     readyLoad = members.stream().mapToDouble(Endpoint::load).sum();
     localEndpointTrafficFraction = localEndpointTrafficFraction(members);
-    if (medianWeight == 0 && readyCount > 0) {
-      // Never recomputed, so that an update moves only the keys of endpoints that changed.
-      double[] weights =
-          members.stream()
-              .mapToDouble(endpoint -> endpoint.descriptor().weight())
-              .sorted()
-              .toArray();
-      medianWeight = weights[readyCount / 2];
+  }
+
+  private List<Endpoint> readyEndpointsById() {
+    return endpoints.values().stream()
+        .filter(Endpoint::isReady)
+        .sorted(Comparator.comparingLong(endpoint -> endpoint.id))
+        .toList();
+  }
+
+  /** Gives the endpoints of an update their points on the ring. */
+  private void updateRing(List<Endpoint> updated) {
+    if (readyCount > 0 && ringPointCounts.needsMedianWeight()) {
+      List<Endpoint> ready = readyEndpointsById();
+      ringPointCounts.setMedianWeight(ready);
+      ring.replaceAll(ready, ringPointCounts::of);
+      return;
+    }
+    long changed =
+        updated.stream()
+            .filter(endpoint -> endpoint.ringPointCount != ringPointCounts.of(endpoint))
+            .count();
+    if (changed * REBUILD_DIVISOR > readyCount) {
+      ring.replaceAll(readyEndpointsById(), ringPointCounts::of);
+    } else {
+      updated.forEach(endpoint -> ring.setPointCount(endpoint, ringPointCounts.of(endpoint)));
     }
-    ring = new HashRing(members, this::ringPointCount);
   }
 
   private double localEndpointTrafficFraction(List<Endpoint> members) {
@@ -178,17 +189,4 @@
     long zones = members.stream().map(endpoint -> endpoint.descriptor().zone()).distinct().count();
     return Math.min(1.0 / Math.max(1, local), (double) zones / Math.max(1, members.size()));
   }
-
-  private long ringPointCount(Endpoint endpoint) {
-    boolean isWeightASize =
-        settings.weightKind() == WeightKind.NOMINAL || settings.weightKind() == WeightKind.ROUGH;
-    if (!isWeightASize || medianWeight <= 0) {
-      return RING_POINTS_PER_ENDPOINT;
-    }
-    double relativeWeight =
-        Math.min(
-            MAX_RELATIVE_WEIGHT,
-            Math.max(1 / MAX_RELATIVE_WEIGHT, endpoint.descriptor().weight() / medianWeight));
-    return Math.round(RING_POINTS_PER_ENDPOINT * relativeWeight);
-  }
 }
--- a/src/main/java/loadbalancer/policy/HashRing.java
+++ b/src/main/java/loadbalancer/policy/HashRing.java
@@ -1,57 +1,52 @@
 package loadbalancer.policy;
 
-import java.util.Arrays;
 import java.util.List;
-import java.util.function.ToLongFunction;
+import java.util.function.ToIntFunction;
 
 /**
- * An immutable consistent-hash ring (Karger et al., 1997): each member owns pseudo-random points,
- * and a key belongs to the owner of the first point at or after the hash of the key. {@link
- * EndpointRegistry} builds a new ring at each update of the endpoint list, and {@link
- * BoundedLoadPlacement} walks it.
+ * A consistent-hash ring (Karger et al., 1997): each member owns pseudo-random points, and a key
+ * belongs to the owner of the first point at or after the hash of the key. {@link EndpointRegistry}
+ * updates the ring with the endpoint list, and {@link BoundedLoadPlacement} walks it.
+ *
+ * <p>The order of the owners depends on the present members and their numbers of points only, not
+ * on the updates that led to them. A change of one member takes O(p log n) if p of the n points
+ * change, see {@link RingBlocks}; replacing all members takes O(n), see {@link RingBuilder}.
  */
 final class HashRing {
-  /** The low 20 bits of a point hold its owner's index; no endpoint list has as many entries. */
-  private static final long MAX_MEMBERS = 1 << 20;
+  private final RingMembers members = new RingMembers();
+  private final RingBlocks points = new RingBlocks(members);
 
-  /** Sorted. Primitive values, since each update during a rolling deployment rebuilds the ring. */
-  private final long[] points;
-
-  private final Endpoint[] owners;
-
-  /** Creates a ring on which each member owns as many points as {@code pointCount} returns. */
-  HashRing(List<Endpoint> members, ToLongFunction<Endpoint> pointCount) {
-    long[] unsorted = new long[(int) members.stream().mapToLong(pointCount).sum()];
-    int count = 0;
-    for (int m = 0; m < members.size(); m++) {
-      long end = count + pointCount.applyAsLong(members.get(m));
-      for (int i = 0; count < end; i++) {
-        unsorted[count++] = (mix(mix(members.get(m).id) + i) & -MAX_MEMBERS) | m;
-      }
-    }
-    Arrays.sort(unsorted);
-    points = unsorted;
-    owners =
-        Arrays.stream(points)
-            .mapToObj(point -> members.get((int) (point & MAX_MEMBERS - 1)))
-            .toArray(Endpoint[]::new);
-  }
-
-  /** The finalizer of SplitMix64, which spreads consecutive inputs over all 64 bits. */
-  private static long mix(long value) {
-    long mixed = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
-    mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
-    return mixed ^ (mixed >>> 31);
+  /** Creates a walk along this ring, which remains valid when the ring changes between walks. */
+  RingWalk newWalk() {
+    return new RingWalk(points, members);
   }
 
-  /** The position of the first point at or after the hash of the key, where its walk starts. */
-  int positionOf(String key) {
-    int position = Arrays.binarySearch(points, mix(mix(key.hashCode())));
-    return position < 0 ? -position - 1 : position;
+  /** Adds or removes points of an endpoint, so that it owns as many as given; 0 to remove it. */
+  void setPointCount(Endpoint endpoint, int pointCount) {
+    int oldCount = endpoint.ringPointCount;
+    if (oldCount == 0 && pointCount > 0) {
+      members.add(endpoint);
+    }
+    long seed = RingPoint.seedOf(endpoint.id);
+    for (int i = oldCount; i < pointCount; i++) {
+      points.add(RingPoint.of(seed, i, endpoint.ringSlot));
+    }
+    for (int i = pointCount; i < oldCount; i++) {
+      points.remove(RingPoint.of(seed, i, endpoint.ringSlot));
+    }
+    endpoint.ringPointCount = pointCount;
+    if (oldCount > 0 && pointCount == 0) {
+      members.remove(endpoint);
+    }
   }
 
-  /** The owner of the point at a position, modulo the number of points; the ring is not empty. */
-  Endpoint ownerAt(int position) {
-    return owners[position % owners.length];
+  /** Replaces all members with these, which are in the order of their ids and own points each. */
+  void replaceAll(List<Endpoint> newMembers, ToIntFunction<Endpoint> pointCount) {
+    members.clear();
+    for (Endpoint member : newMembers) {
+      members.add(member);
+      member.ringPointCount = pointCount.applyAsInt(member);
+    }
+    new RingBuilder(newMembers).buildInto(points);
   }
 }
