--- a/src/main/java/loadbalancer/policy/BoundedLoadPlacement.java
+++ b/src/main/java/loadbalancer/policy/BoundedLoadPlacement.java
@@ -116,18 +116,22 @@
     fallbacks.clear();
     walkNumber++;
     int visited = 0;
+    int localVisited = 0;
     int localTried = 0;
-    while (visited < registry.readyCount() && localTried < maxLocalTried) {
+    while (visited < registry.readyCount()
+        && localTried < maxLocalTried
+        && !isDecided(localVisited)) {
       Endpoint endpoint = walk.next();
       if (endpoint.lastWalkNumber == walkNumber) {
         continue;
       }
       endpoint.lastWalkNumber = walkNumber;
       visited++;
+      boolean isLocal = registry.isLocal(endpoint);
+      localVisited += isLocal ? 1 : 0;
       if (!isEligible(pending, endpoint, nowNanos)) {
         continue;
       }
-      boolean isLocal = registry.isLocal(endpoint);
       LoadStatus status = loadStatus(endpoint, isLocal, nowNanos);
       if (!isLocal || status == LoadStatus.ABOVE_RECENT_BOUND) {
         fallbacks.add(endpoint, status);
@@ -142,6 +146,11 @@
     return bestFallback(nowNanos);
   }
 
+  /** Whether the rest of the walk cannot change the result, so that few endpoints are visited. */
+  private boolean isDecided(int localVisited) {
+    return fallbacks.remote != null && localVisited == registry.localCount();
+  }
+
   private LoadStatus loadStatus(Endpoint endpoint, boolean isLocal, long nowNanos) {
     boolean hasCapacity = loadBound.hasCapacity(endpoint, nowNanos);
     boolean isWithinRecentBound = loadBound.isWithinRecentBound(endpoint, isLocal, nowNanos);
--- a/src/main/java/loadbalancer/policy/Endpoint.java
+++ b/src/main/java/loadbalancer/policy/Endpoint.java
@@ -27,6 +27,9 @@
   /** The last walk of the hash ring that visited it; set by {@link BoundedLoadPlacement}. */
   long lastWalkNumber;
 
+  /** Its position in {@link InFlightEndpoints} while it has attempts in flight. */
+  int inFlightIndex;
+
   /** Its slot in {@link RingMembers} while it owns points of the hash ring. */
   int ringSlot;
 
--- a/src/main/java/loadbalancer/policy/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/policy/EndpointRegistry.java
@@ -3,9 +3,12 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.SplittableRandom;
 import loadbalancer.policy.event.EndpointDescriptor;
 import loadbalancer.policy.event.EndpointListUpdate;
@@ -21,13 +24,17 @@
   /** The ring is built anew if more than the ready endpoints divided by this number change. */
   private static final int REBUILD_DIVISOR = 4;
 
-  private final PolicySettings settings;
   private final SplittableRandom random;
   private final long responseWindowNanos;
-  private final Map<Long, Endpoint> endpoints = new LinkedHashMap<>();
+  private final Map<Long, Endpoint> endpoints = new HashMap<>();
   private final HashRing ring = new HashRing();
   private final RingPointCounts ringPointCounts;
-  private int readyCount;
+  private final EndpointCounts counts;
+  private final InFlightEndpoints inFlightEndpoints = new InFlightEndpoints();
+
+  /** The endpoints that are listed as removed and kept, since they had attempts in flight. */
+  private final Set<Endpoint> removedEndpoints = new HashSet<>();
+
   private double readyLoad;
   private double localEndpointTrafficFraction;
 
@@ -37,15 +44,15 @@
    * @param random the policy's source of randomness
    */
   EndpointRegistry(PolicySettings settings, LatencyObjectives objectives, SplittableRandom random) {
-    this.settings = settings;
     this.random = random;
+    counts = new EndpointCounts(settings);
     ringPointCounts = new RingPointCounts(settings.weightKind());
     responseWindowNanos = objectives.statisticsWindowNanos() / 2;
   }
 
-  /** All endpoints, in the order in which they were first listed. */
-  Collection<Endpoint> endpoints() {
-    return endpoints.values();
+  /** The endpoints with attempts in flight, including those that are no longer ready. */
+  List<Endpoint> inFlightEndpoints() {
+    return inFlightEndpoints.asList();
   }
 
   /** Creates a walk along the hash ring of the ready endpoints. */
@@ -53,9 +60,19 @@
     return ring.newWalk();
   }
 
+  /** The number of endpoints that are kept, ready or not. */
+  int endpointCount() {
+    return endpoints.size();
+  }
+
   /** The number of ready endpoints. */
   int readyCount() {
-    return readyCount;
+    return counts.ready();
+  }
+
+  /** The number of ready endpoints that are local. */
+  int localCount() {
+    return counts.local();
   }
 
   /** The load in flight at all ready endpoints, in average requests. */
@@ -65,8 +82,7 @@
 
   /** Whether the endpoint is in this balancer's zone, or cross-zone traffic costs nothing. */
   boolean isLocal(Endpoint endpoint) {
-    return settings.costs().crossZone() == 0
-        || endpoint.descriptor().zone().equals(settings.zone());
+    return counts.isLocal(endpoint.descriptor());
   }
 
   /**
@@ -80,6 +96,9 @@
 
   /** Adds an attempt that was forwarded to a ready endpoint. */
   void attemptStarted(Endpoint endpoint, double load) {
+    if (endpoint.inFlight() == 0) {
+      inFlightEndpoints.add(endpoint);
+    }
     endpoint.addAttempt(load);
     readyLoad += load;
   }
@@ -87,25 +106,34 @@
   /** Removes an attempt that has completed. */
   void attemptCompleted(Endpoint endpoint, double load) {
     endpoint.removeAttempt(load);
+    if (endpoint.inFlight() == 0) {
+      inFlightEndpoints.remove(endpoint);
+    }
     if (endpoint.isReady()) {
       readyLoad -= load;
     }
   }
 
-  /** Applies an update of any kind but {@link EndpointListUpdate.Kind#FAILED}. */
+  /**
+   * Applies an update of any kind but {@link EndpointListUpdate.Kind#FAILED}. A delta takes time in
+   * proportion to its entries and to the endpoints with attempts in flight, other updates also to
+   * the listed endpoints.
+   */
   void apply(EndpointListUpdate update, long nowNanos) {
-    List<Endpoint> updated = new ArrayList<>();
+    List<Endpoint> changed = new ArrayList<>();
     for (EndpointDescriptor descriptor : changesIn(update)) {
-      updated.add(apply(descriptor, nowNanos));
+      Endpoint endpoint =
+          endpoints.computeIfAbsent(descriptor.endpointId(), id -> newEndpoint(id, nowNanos));
+      if (apply(descriptor, endpoint, nowNanos)) {
+        changed.add(endpoint);
+      }
     }
-    updateCounts();
-    updateRing(updated);
-    endpoints
-        .values()
-        .removeIf(
-            endpoint ->
-                endpoint.descriptor().status() == EndpointStatus.REMOVED
-                    && endpoint.inFlight() == 0);
+    readyLoad = inFlightEndpoints.readyLoad();
+    localEndpointTrafficFraction =
+        Math.min(
+            1.0 / Math.max(1, counts.local()), (double) counts.zones() / Math.max(1, readyCount()));
+    updateRing(changed);
+    dropRemoved(changed);
   }
 
   private Collection<EndpointDescriptor> changesIn(EndpointListUpdate update) {
@@ -132,30 +160,50 @@
         last.weight());
   }
 
-  private Endpoint apply(EndpointDescriptor descriptor, long nowNanos) {
-    Endpoint endpoint =
-        endpoints.computeIfAbsent(
-            descriptor.endpointId(),
-            id ->
-                new Endpoint(
-                    id,
-                    new ResponseStatistics(responseWindowNanos, nowNanos),
-                    InFlightTime.newWindow(nowNanos)));
+  private Endpoint newEndpoint(long id, long nowNanos) {
+    return new Endpoint(
+        id,
+        new ResponseStatistics(responseWindowNanos, nowNanos),
+        InFlightTime.newWindow(nowNanos));
+  }
+
+  /** Applies an entry to its endpoint and returns whether it differs from the previous one. */
+  private boolean apply(EndpointDescriptor descriptor, Endpoint endpoint, long nowNanos) {
     if (descriptor.startedNanos() > endpoint.startedAtNanos()) {
       endpoint.recordRestart(descriptor.startedNanos());
       endpoint.outlierState.reset();
       // Random, so that balancers with equal traffic do not forward their first attempt in step.
       endpoint.slowStartState.reset(random.nextDouble(), nowNanos);
     }
+    EndpointDescriptor previous = endpoint.descriptor();
     endpoint.setDescriptor(descriptor);
-    return endpoint;
+    if (descriptor.equals(previous)) {
+      return false;
+    }
+    if (previous != null) {
+      counts.remove(previous);
+    }
+    counts.add(descriptor);
+    return true;
   }
 
-  private void updateCounts() {
-    List<Endpoint> members = readyEndpointsById();
-    readyCount = members.size();
-    readyLoad = members.stream().mapToDouble(Endpoint::load).sum();
-    localEndpointTrafficFraction = localEndpointTrafficFraction(members);
+  /** Drops the endpoints that are listed as removed, unless they have attempts in flight. */
+  private void dropRemoved(List<Endpoint> changed) {
+    for (Endpoint endpoint : changed) {
+      if (isRemoved(endpoint)) {
+        removedEndpoints.add(endpoint);
+      }
+    }
+    for (Endpoint endpoint : removedEndpoints) {
+      if (isRemoved(endpoint) && endpoint.inFlight() == 0) {
+        endpoints.remove(endpoint.id);
+      }
+    }
+    removedEndpoints.removeIf(endpoint -> !isRemoved(endpoint) || endpoint.inFlight() == 0);
+  }
+
+  private static boolean isRemoved(Endpoint endpoint) {
+    return endpoint.descriptor().status() == EndpointStatus.REMOVED;
   }
 
   private List<Endpoint> readyEndpointsById() {
@@ -165,28 +213,22 @@
         .toList();
   }
 
-  /** Gives the endpoints of an update their points on the ring. */
-  private void updateRing(List<Endpoint> updated) {
-    if (readyCount > 0 && ringPointCounts.needsMedianWeight()) {
+  /** Gives the changed endpoints their points on the ring. */
+  private void updateRing(List<Endpoint> changed) {
+    if (readyCount() > 0 && ringPointCounts.needsMedianWeight()) {
       List<Endpoint> ready = readyEndpointsById();
       ringPointCounts.setMedianWeight(ready);
       ring.replaceAll(ready, ringPointCounts::of);
       return;
     }
-    long changed =
-        updated.stream()
+    long changedMembers =
+        changed.stream()
             .filter(endpoint -> endpoint.ringPointCount != ringPointCounts.of(endpoint))
             .count();
-    if (changed * REBUILD_DIVISOR > readyCount) {
+    if (changedMembers * REBUILD_DIVISOR > readyCount()) {
       ring.replaceAll(readyEndpointsById(), ringPointCounts::of);
     } else {
-      updated.forEach(endpoint -> ring.setPointCount(endpoint, ringPointCounts.of(endpoint)));
+      changed.forEach(endpoint -> ring.setPointCount(endpoint, ringPointCounts.of(endpoint)));
     }
   }
-
-  private double localEndpointTrafficFraction(List<Endpoint> members) {
-    long local = members.stream().filter(this::isLocal).count();
-    long zones = members.stream().map(endpoint -> endpoint.descriptor().zone()).distinct().count();
-    return Math.min(1.0 / Math.max(1, local), (double) zones / Math.max(1, members.size()));
-  }
 }
--- a/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -1,5 +1,7 @@
 package loadbalancer.policy;
 
+import java.util.HashSet;
+import java.util.Set;
 import java.util.SplittableRandom;
 
 /**
@@ -43,6 +45,10 @@
   private final EndpointRegistry registry;
   private final SplittableRandom random;
   private final double minSilenceNanos;
+
+  /** The endpoints whose ejection had not ended at the last update of the panic mode. */
+  private final Set<Endpoint> ejectedEndpoints = new HashSet<>();
+
   private boolean isPanicMode;
 
   /** The outlier detection state of one endpoint. */
@@ -139,15 +145,24 @@
       state.consecutiveEjections++;
       // Jitter, so that the balancers do not all return to the endpoint at the same time.
       state.ejectedUntilNanos = nowNanos + (long) (ejectionNanos * (0.5 + random.nextDouble() / 2));
+      ejectedEndpoints.add(endpoint);
     }
   }
 
-  /** Checks the number of ejected or unresponsive ready endpoints against the panic threshold. */
+  /**
+   * Checks the number of ejected or unresponsive ready endpoints against the panic threshold. Takes
+   * time in proportion to the ejected endpoints and those with attempts in flight.
+   */
   void updatePanic(long nowNanos) {
+    ejectedEndpoints.removeIf(endpoint -> !isEjected(endpoint, nowNanos));
     int unusable = 0;
-    for (Endpoint endpoint : registry.endpoints()) {
+    for (Endpoint endpoint : ejectedEndpoints) {
+      unusable += endpoint.isReady() ? 1 : 0;
+    }
+    for (Endpoint endpoint : registry.inFlightEndpoints()) {
       if (endpoint.isReady()
-          && (isEjected(endpoint, nowNanos) || isUnresponsive(endpoint, nowNanos))) {
+          && !isEjected(endpoint, nowNanos)
+          && isUnresponsive(endpoint, nowNanos)) {
         unusable++;
       }
     }
--- a/src/test/java/loadbalancer/policy/HashRingUpdateTest.java
+++ b/src/test/java/loadbalancer/policy/HashRingUpdateTest.java
@@ -33,8 +33,7 @@
   }
 
   /** The ids of the owners of this many points from the position of a key. */
-  private static List<Long> owners(HashRing ring, String key, int points) {
-    RingWalk walk = ring.newWalk();
+  private static List<Long> owners(RingWalk walk, String key, int points) {
     walk.start(key);
     return IntStream.range(0, points).mapToObj(i -> walk.next().id).toList();
   }
@@ -47,12 +46,13 @@
     return ring;
   }
 
-  private static void assertSameOwners(HashRing ring, Map<Long, Integer> pointCounts) {
-    HashRing builtAnew = ringOf(pointCounts);
+  /** Checks the owners along a ring against one that is built anew with these points. */
+  static void assertSameOwners(RingWalk walk, Map<Long, Integer> pointCounts) {
+    RingWalk builtAnew = ringOf(pointCounts).newWalk();
     int points = pointCounts.values().stream().mapToInt(count -> count).sum();
-    assertEquals(owners(builtAnew, "k", 2 * points), owners(ring, "k", 2 * points));
+    assertEquals(owners(builtAnew, "k", 2 * points), owners(walk, "k", 2 * points));
     for (int k = 0; k < 50; k++) {
-      assertEquals(owners(builtAnew, "k" + k, 20), owners(ring, "k" + k, 20), "key k" + k);
+      assertEquals(owners(builtAnew, "k" + k, 20), owners(walk, "k" + k, 20), "key k" + k);
     }
   }
 
@@ -73,7 +73,7 @@
       pointCounts.put(endpoint.id, pointCount);
       pointCounts.values().removeIf(count -> count == 0);
       if (!pointCounts.isEmpty()) {
-        assertSameOwners(ring, pointCounts);
+        assertSameOwners(ring.newWalk(), pointCounts);
       }
     }
   }
@@ -96,7 +96,7 @@
         ring.setPointCount(endpoint(TIED_IDS.get(first + added)), POINTS);
         ring.setPointCount(endpoint(TIED_IDS.get(first + 1 - added)), POINTS);
         assertSameOwners(
-            ring, Map.of(TIED_IDS.get(first), POINTS, TIED_IDS.get(first + 1), POINTS));
+            ring.newWalk(), Map.of(TIED_IDS.get(first), POINTS, TIED_IDS.get(first + 1), POINTS));
       }
     }
   }
--- a/src/test/java/loadbalancer/policy/TestSettings.java
+++ b/src/test/java/loadbalancer/policy/TestSettings.java
@@ -44,6 +44,7 @@
           /* overloadWindowNanos= */ millis(3000));
   private double crossZoneCost;
   private boolean endpointListPolled;
+  private WeightKind weightKind = WeightKind.NONE;
 
   /** Returns the default settings. */
   static PolicySettings defaults() {
@@ -97,6 +98,11 @@
     return this;
   }
 
+  TestSettings weightKind(WeightKind newWeightKind) {
+    weightKind = newWeightKind;
+    return this;
+  }
+
   /** Sets that the endpoint list is polled rather than pushed. */
   TestSettings endpointListPolled() {
     endpointListPolled = true;
@@ -137,7 +143,7 @@
         serviceRules,
         new Costs(crossZoneCost, 0, 0),
         endpointListPolled,
-        WeightKind.NONE,
+        weightKind,
         /* overQuotaWeight= */ 0.2,
         /* endpointsCacheKeys= */ true,
         /* clockResolutionNanos= */ millis(1));
