--- a/src/main/java/loadbalancer/policy/Endpoint.java
+++ b/src/main/java/loadbalancer/policy/Endpoint.java
@@ -15,8 +15,11 @@
   /** Statistics of its served attempts; maintained by {@link AttemptRecorder}. */
   final ResponseStatistics responses;
 
-  /** The time that its recent attempts were in flight; maintained by {@link InFlightTime}. */
-  final SlidingWindow inFlightTime;
+  /**
+   * The time that its recent attempts were in flight; null until it gets one. Maintained by {@link
+   * InFlightTime}.
+   */
+  SlidingWindow inFlightTime;
 
   /** Its state in {@link OutlierDetector}. */
   final OutlierDetector.State outlierState = new OutlierDetector.State();
@@ -42,10 +45,9 @@
   private double load;
 
   /** Creates an endpoint; {@link #setDescriptor} must be called before it is used. */
-  Endpoint(long id, ResponseStatistics responses, SlidingWindow inFlightTime) {
+  Endpoint(long id, ResponseStatistics responses) {
     this.id = id;
     this.responses = responses;
-    this.inFlightTime = inFlightTime;
   }
 
   /** Its latest entry in the endpoint list. */
--- a/src/main/java/loadbalancer/policy/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/policy/EndpointRegistry.java
@@ -123,7 +123,9 @@
     List<Endpoint> changed = new ArrayList<>();
     for (EndpointDescriptor descriptor : changesIn(update)) {
       Endpoint endpoint =
-          endpoints.computeIfAbsent(descriptor.endpointId(), id -> newEndpoint(id, nowNanos));
+          endpoints.computeIfAbsent(
+              descriptor.endpointId(),
+              id -> new Endpoint(id, new ResponseStatistics(responseWindowNanos)));
       if (apply(descriptor, endpoint, nowNanos)) {
         changed.add(endpoint);
       }
@@ -160,13 +162,6 @@
         last.weight());
   }
 
-  private Endpoint newEndpoint(long id, long nowNanos) {
-    return new Endpoint(
-        id,
-        new ResponseStatistics(responseWindowNanos, nowNanos),
-        InFlightTime.newWindow(nowNanos));
-  }
-
   /** Applies an entry to its endpoint and returns whether it differs from the previous one. */
   private boolean apply(EndpointDescriptor descriptor, Endpoint endpoint, long nowNanos) {
     if (descriptor.startedNanos() > endpoint.startedAtNanos()) {
--- a/src/main/java/loadbalancer/policy/InFlightTime.java
+++ b/src/main/java/loadbalancer/policy/InFlightTime.java
@@ -41,8 +41,7 @@
     smoothedLatencyNanos = initialLatencyNanos;
   }
 
-  /** Creates an empty window for one endpoint, to be kept in {@link Endpoint#inFlightTime}. */
-  static SlidingWindow newWindow(long nowNanos) {
+  private static SlidingWindow newWindow(long nowNanos) {
     return new SlidingWindow(WINDOW_NANOS, nowNanos);
   }
 
@@ -54,6 +53,9 @@
    */
   double attemptStarted(Endpoint endpoint, double load, long nowNanos) {
     double expectedLatencyNanos = smoothedLatencyNanos * load;
+    if (endpoint.inFlightTime == null) {
+      endpoint.inFlightTime = newWindow(nowNanos);
+    }
     endpoint.inFlightTime.add(nowNanos, Metric.LATENCY, expectedLatencyNanos);
     fleet.add(nowNanos, Metric.LATENCY, expectedLatencyNanos);
     return expectedLatencyNanos;
@@ -87,6 +89,9 @@
 
   /** The recent attempts of one endpoint: their time in flight, in average latencies. */
   double recentAttempts(Endpoint endpoint, long nowNanos) {
+    if (endpoint.inFlightTime == null) {
+      return 0;
+    }
     return endpoint.inFlightTime.total(nowNanos, Metric.LATENCY) / smoothedLatencyNanos;
   }
 
--- a/src/main/java/loadbalancer/policy/ResponseStatistics.java
+++ b/src/main/java/loadbalancer/policy/ResponseStatistics.java
@@ -13,12 +13,16 @@
 final class ResponseStatistics {
   private static final double NANOS_PER_SECOND = 1e9;
 
-  private final SlidingWindow window;
+  private final long windowNanos;
+
+  /** Null until an attempt was served, since most of many listed endpoints may never be used. */
+  private SlidingWindow window;
+
   private long firstServedNanos;
 
   /** Creates the statistics of an endpoint that has not served any attempt yet. */
-  ResponseStatistics(long windowNanos, long nowNanos) {
-    window = new SlidingWindow(windowNanos, nowNanos);
+  ResponseStatistics(long windowNanos) {
+    this.windowNanos = windowNanos;
   }
 
   /**
@@ -31,6 +35,9 @@
     if (firstServedNanos == 0) {
       firstServedNanos = nowNanos;
     }
+    if (window == null) {
+      window = new SlidingWindow(windowNanos, nowNanos);
+    }
     double load = pending.load;
     window.add(
         nowNanos,
@@ -41,6 +48,15 @@
     window.add(nowNanos, Metric.LOCAL_DELAY, load * localDelayNanos);
   }
 
+  private double total(long nowNanos, Metric metric) {
+    return window == null ? 0 : window.total(nowNanos, metric);
+  }
+
+  /** Whether the window exists, which takes most of the memory of these statistics. */
+  boolean hasWindow() {
+    return window != null;
+  }
+
   /** When the endpoint first served an attempt; 0 if it never did. */
   long firstServedNanos() {
     return firstServedNanos;
@@ -48,22 +64,22 @@
 
   /** The number of attempts served in the last window. */
   double served(long nowNanos) {
-    return window.total(nowNanos, Metric.SAMPLES);
+    return total(nowNanos, Metric.SAMPLES);
   }
 
   /** The sum of the served attempts' latency objectives in seconds, weighted by load. */
   double objectiveSeconds(long nowNanos) {
-    return window.total(nowNanos, Metric.OBJECTIVE);
+    return total(nowNanos, Metric.OBJECTIVE);
   }
 
   /** The sum of the served attempts' local delays, weighted by load. */
   double localDelayNanos(long nowNanos) {
-    return window.total(nowNanos, Metric.LOCAL_DELAY);
+    return total(nowNanos, Metric.LOCAL_DELAY);
   }
 
   /** The mean of load times latency over the served attempts; 0 without any. */
   double meanLatencyNanos(long nowNanos) {
-    return window.mean(nowNanos, 1);
+    return window == null ? 0 : window.mean(nowNanos, 1);
   }
 
   /** The mean of load times local delay over the served attempts; 0 without any. */
--- a/src/main/java/loadbalancer/policy/SlidingWindow.java
+++ b/src/main/java/loadbalancer/policy/SlidingWindow.java
@@ -39,8 +39,11 @@
   /** The number of slots in the last window and the lookback. */
   private final int keptSlots;
 
-  /** The totals of each slot, by metric; slot {@code s} is at index {@code s % keptSlots}. */
-  private final double[][] slots;
+  /**
+   * The totals of each slot, by metric; slot {@code s} is at index {@code s % keptSlots}. The slots
+   * of a metric are null until an amount is added to it, since most windows use a few metrics.
+   */
+  private final double[][] slots = new double[METRICS][];
 
   /** The totals over the last window, without the lookback. */
   private final double[] totals = new double[METRICS];
@@ -62,7 +65,6 @@
   SlidingWindow(long lengthNanos, int lookbackWindows, long nowNanos) {
     slotNanos = lengthNanos / SLOTS_PER_WINDOW;
     keptSlots = SLOTS_PER_WINDOW * lookbackWindows;
-    slots = new double[METRICS][keptSlots];
     currentSlot = nowNanos / slotNanos;
   }
 
@@ -74,6 +76,9 @@
   /** Adds an amount to a metric at {@code nowNanos}. */
   void add(long nowNanos, Metric metric, double amount) {
     totals[metric.ordinal()] = total(nowNanos, metric) + amount;
+    if (slots[metric.ordinal()] == null) {
+      slots[metric.ordinal()] = new double[keptSlots];
+    }
     slots[metric.ordinal()][(int) (currentSlot % keptSlots)] += amount;
   }
 
@@ -94,12 +99,17 @@
         samples < minSamples && s > currentSlot - keptSlots && s >= 0;
         s--) {
       int index = (int) (s % keptSlots);
-      samples += slots[Metric.SAMPLES.ordinal()][index];
-      sum += slots[metric.ordinal()][index];
+      samples += amountIn(index, Metric.SAMPLES);
+      sum += amountIn(index, metric);
     }
     return sum;
   }
 
+  private double amountIn(int slotIndex, Metric metric) {
+    double[] metricSlots = slots[metric.ordinal()];
+    return metricSlots == null ? 0 : metricSlots[slotIndex];
+  }
+
   /**
    * The mean latency of at least {@code minSamples} samples, as far as they are retained. It is 0
    * without samples, which counts as healthy.
@@ -118,7 +128,9 @@
       // Advancing by single slots would overwrite the oldest ones before they are subtracted.
       Arrays.fill(totals, 0);
       for (double[] metricSlots : slots) {
-        Arrays.fill(metricSlots, 0);
+        if (metricSlots != null) {
+          Arrays.fill(metricSlots, 0);
+        }
       }
       currentSlot = newSlot;
     }
@@ -131,6 +143,9 @@
   private void startSlot(long started) {
     int index = (int) (started % keptSlots);
     for (int m = 0; m < METRICS; m++) {
+      if (slots[m] == null) {
+        continue;
+      }
       if (started >= SLOTS_PER_WINDOW) {
         totals[m] -= slots[m][(int) ((started - SLOTS_PER_WINDOW) % keptSlots)];
       }
--- a/src/test/java/loadbalancer/policy/HashRingUpdateTest.java
+++ b/src/test/java/loadbalancer/policy/HashRingUpdateTest.java
@@ -25,7 +25,7 @@
   private static final int POINTS = 50;
 
   private static Endpoint endpoint(long id) {
-    return new Endpoint(id, new ResponseStatistics(1200, 0), InFlightTime.newWindow(0));
+    return new Endpoint(id, new ResponseStatistics(1200));
   }
 
   private static List<Endpoint> endpoints(int count) {
