--- a/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -46,7 +46,7 @@
   private final SplittableRandom random;
   private final double minSilenceNanos;
 
-  /** The endpoints whose ejection had not ended at the last update of the panic mode. */
+  /** The endpoints whose ejection had not ended when they were last counted. */
   private final Set<Endpoint> ejectedEndpoints = new HashSet<>();
 
   private boolean isPanicMode;
@@ -103,7 +103,8 @@
                 + LOCAL_DELAY_ALLOWANCE * localDelayNanos;
   }
 
-  private static boolean isEjected(Endpoint endpoint, long nowNanos) {
+  /** Whether the endpoint is ejected at present. */
+  static boolean isEjected(Endpoint endpoint, long nowNanos) {
     return endpoint.outlierState.ejectedUntilNanos > nowNanos;
   }
 
@@ -149,11 +150,16 @@
     }
   }
 
+  /** Checks the number of ejected or unresponsive ready endpoints against the panic threshold. */
+  void updatePanic(long nowNanos) {
+    isPanicMode = countUnusable(nowNanos) > PANIC_THRESHOLD * registry.readyCount();
+  }
+
   /**
-   * Checks the number of ejected or unresponsive ready endpoints against the panic threshold. Takes
-   * time in proportion to the ejected endpoints and those with attempts in flight.
+   * Counts the ready endpoints that are ejected or unresponsive, in time proportional to the
+   * endpoints that are ejected or have attempts in flight.
    */
-  void updatePanic(long nowNanos) {
+  int countUnusable(long nowNanos) {
     ejectedEndpoints.removeIf(endpoint -> !isEjected(endpoint, nowNanos));
     int unusable = 0;
     for (Endpoint endpoint : ejectedEndpoints) {
@@ -166,6 +172,6 @@
         unusable++;
       }
     }
-    isPanicMode = unusable > PANIC_THRESHOLD * registry.readyCount();
+    return unusable;
   }
 }
--- a/src/test/java/loadbalancer/policy/EndpointWindowsTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointWindowsTest.java
@@ -22,7 +22,7 @@
 
   private static final PolicySettings SETTINGS = TestSettings.defaults();
 
-  private static PendingRequest pending(PolicyComponents components, long nowNanos) {
+  static PendingRequest pending(PolicyComponents components, long nowNanos) {
     RequestArrived request =
         new RequestArrived(
             "r", TestSettings.REQUEST_CLASS, null, "k", nowNanos + millis(2000), 0, false);
