--- a/src/main/java/loadbalancer/policy/RingBlocks.java
+++ b/src/main/java/loadbalancer/policy/RingBlocks.java
@@ -25,6 +25,9 @@
   /** The blocks in order. Only the first {@link #blockCount} exist, and each of them has points. */
   private long[][] blocks = new long[MIN_DIRECTORY_CAPACITY][];
 
+  /** The first point of each block, kept side by side so that a search reads little memory. */
+  private long[] firstPoints = new long[MIN_DIRECTORY_CAPACITY];
+
   /** The number of points in each block, which may be less than the block's capacity. */
   private int[] sizes = new int[MIN_DIRECTORY_CAPACITY];
 
@@ -56,7 +59,7 @@
     int high = blockCount;
     while (low < high) {
       int middle = (low + high) >>> 1;
-      if (blocks[middle][0] < hash) {
+      if (firstPoints[middle] < hash) {
         low = middle + 1;
       } else {
         high = middle;
@@ -86,8 +89,10 @@
     blockCount = newBlockCount;
     int capacity = Math.max(MIN_DIRECTORY_CAPACITY, newBlockCount);
     blocks = Arrays.copyOf(newBlocks, capacity);
+    firstPoints = new long[capacity];
     sizes = new int[capacity];
     for (int block = 0; block < newBlockCount; block++) {
+      firstPoints[block] = newBlocks[block][0];
       sizes[block] = newBlocks[block].length;
     }
   }
@@ -110,6 +115,7 @@
     }
     System.arraycopy(blocks[block], index, blocks[block], index + 1, size - index);
     blocks[block][index] = point;
+    firstPoints[block] = blocks[block][0];
     sizes[block]++;
   }
 
@@ -121,6 +127,7 @@
       throw new IllegalStateException("hash ring: no such point");
     }
     System.arraycopy(blocks[block], index + 1, blocks[block], index, sizes[block] - index - 1);
+    firstPoints[block] = blocks[block][0];
     sizes[block]--;
     if (sizes[block] == 0) {
       removeBlock(block);
@@ -147,7 +154,7 @@
     int high = blockCount;
     while (low < high) {
       int middle = (low + high) >>> 1;
-      if (compare(blocks[middle][0], point) <= 0) {
+      if (compare(firstPoints[middle], point) <= 0) {
         low = middle + 1;
       } else {
         high = middle;
@@ -202,11 +209,14 @@
     if (blockCount == blocks.length) {
       int capacity = blockCount + blockCount / 2;
       blocks = Arrays.copyOf(blocks, capacity);
+      firstPoints = Arrays.copyOf(firstPoints, capacity);
       sizes = Arrays.copyOf(sizes, capacity);
     }
     System.arraycopy(blocks, block, blocks, block + 1, blockCount - block);
+    System.arraycopy(firstPoints, block, firstPoints, block + 1, blockCount - block);
     System.arraycopy(sizes, block, sizes, block + 1, blockCount - block);
     blocks[block] = points;
+    firstPoints[block] = points[0];
     sizes[block] = points.length;
     blockCount++;
   }
@@ -214,6 +224,7 @@
   private void removeBlock(int block) {
     blockCount--;
     System.arraycopy(blocks, block + 1, blocks, block, blockCount - block);
+    System.arraycopy(firstPoints, block + 1, firstPoints, block, blockCount - block);
     System.arraycopy(sizes, block + 1, sizes, block, blockCount - block);
     blocks[blockCount] = null;
     sizes[blockCount] = 0;
