--- a/src/main/java/loadbalancer/policy/BoundedLoadPlacement.java
+++ b/src/main/java/loadbalancer/policy/BoundedLoadPlacement.java
@@ -71,6 +71,8 @@
   private final OutlierDetector outlierDetector;
   private final RetrySafety retrySafety;
 
+  private final RingWalk walk;
+
   /** The fallbacks of the current walk; reused, since every attempt walks the ring. */
   private final Fallbacks fallbacks = new Fallbacks();
 
@@ -86,6 +88,7 @@
       SplittableRandom random, EndpointRegistry registry, Constraints constraints) {
     this.random = random;
     this.registry = registry;
+    walk = registry.newRingWalk();
     keySpread = constraints.keySpread();
     loadBound = constraints.loadBound();
     slowStart = constraints.slowStart();
@@ -107,26 +110,28 @@
    * </ol>
    */
   Endpoint place(PendingRequest pending, long nowNanos) {
-    HashRing ring = registry.ring();
-    int position = startPosition(pending, ring);
+    walk.start(keyOf(pending));
     double maxLocalTried = keySpread.maxEndpoints(pending, nowNanos);
     loadBound.updateSharedBounds(nowNanos);
     fallbacks.clear();
     walkNumber++;
     int visited = 0;
+    int localVisited = 0;
     int localTried = 0;
-    while (visited < registry.readyCount() && localTried < maxLocalTried) {
-      Endpoint endpoint = ring.ownerAt(position);
-      position++;
+    while (visited < registry.readyCount()
+        && localTried < maxLocalTried
+        && !isDecided(localVisited)) {
+      Endpoint endpoint = walk.next();
       if (endpoint.lastWalkNumber == walkNumber) {
         continue;
       }
       endpoint.lastWalkNumber = walkNumber;
       visited++;
+      boolean isLocal = registry.isLocal(endpoint);
+      localVisited += isLocal ? 1 : 0;
       if (!isEligible(pending, endpoint, nowNanos)) {
         continue;
       }
-      boolean isLocal = registry.isLocal(endpoint);
       LoadStatus status = loadStatus(endpoint, isLocal, nowNanos);
       if (!isLocal || status == LoadStatus.ABOVE_RECENT_BOUND) {
         fallbacks.add(endpoint, status);
@@ -141,6 +146,11 @@
     return bestFallback(nowNanos);
   }
 
+  /** Whether the rest of the walk cannot change the result, so that few endpoints are visited. */
+  private boolean isDecided(int localVisited) {
+    return fallbacks.remote != null && localVisited == registry.localCount();
+  }
+
   private LoadStatus loadStatus(Endpoint endpoint, boolean isLocal, long nowNanos) {
     boolean hasCapacity = loadBound.hasCapacity(endpoint, nowNanos);
     boolean isWithinRecentBound = loadBound.isWithinRecentBound(endpoint, isLocal, nowNanos);
@@ -162,9 +172,9 @@
     return fallbacks.remote == null ? fallbacks.aboveRecentBound : fallbacks.remote;
   }
 
-  private int startPosition(PendingRequest pending, HashRing ring) {
+  private String keyOf(PendingRequest pending) {
     String affinityKey = pending.request.affinityKey();
-    return ring.positionOf(affinityKey == null ? "" + random.nextLong() : affinityKey);
+    return affinityKey == null ? "" + random.nextLong() : affinityKey;
   }
 
   private boolean isEligible(PendingRequest pending, Endpoint endpoint, long nowNanos) {
--- a/src/main/java/loadbalancer/policy/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/policy/EndpointRegistry.java
@@ -1,16 +1,19 @@
 package loadbalancer.policy;
 
+import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.SplittableRandom;
 import loadbalancer.policy.event.EndpointDescriptor;
 import loadbalancer.policy.event.EndpointListUpdate;
 import loadbalancer.policy.event.EndpointStatus;
 import loadbalancer.policy.settings.PolicySettings;
-import loadbalancer.policy.settings.WeightKind;
 
 /**
  * The endpoints that this balancer knows, the hash ring of the ready ones, and their load in
@@ -18,48 +21,58 @@
  * has attempts in flight, and dropped by the first update after that.
  */
 final class EndpointRegistry {
-  /** Keeps keys per endpoint within about 15% of the mean; {@link LoadBound} evens out the rest. */
-  private static final int RING_POINTS_PER_ENDPOINT = 50;
+  /** The ring is built anew if more than the ready endpoints divided by this number change. */
+  private static final int REBUILD_DIVISOR = 4;
 
-  /** Weights are clamped to this multiple of the median, and to the inverse multiple. */
-  private static final double MAX_RELATIVE_WEIGHT = 4;
-
-  private final PolicySettings settings;
   private final SplittableRandom random;
   private final long responseWindowNanos;
-  private final Map<Long, Endpoint> endpoints = new LinkedHashMap<>();
-  private HashRing ring = new HashRing(List.of(), endpoint -> 0);
-  private int readyCount;
+  private final Map<Long, Endpoint> endpoints = new HashMap<>();
+  private final HashRing ring = new HashRing();
+  private final RingPointCounts ringPointCounts;
+  private final EndpointCounts counts;
+  private final InFlightEndpoints inFlightEndpoints = new InFlightEndpoints();
+
+  /** The endpoints that are listed as removed and kept, since they had attempts in flight. */
+  private final Set<Endpoint> removedEndpoints = new HashSet<>();
+
   private double readyLoad;
   private double localEndpointTrafficFraction;
 
-  /** The median weight of the ready endpoints when there first were any; 0 until then. */
-  private double medianWeight;
-
   /**
    * Creates a registry without endpoints.
    *
    * @param random the policy's source of randomness
    */
   EndpointRegistry(PolicySettings settings, LatencyObjectives objectives, SplittableRandom random) {
-    this.settings = settings;
     this.random = random;
+    counts = new EndpointCounts(settings);
+    ringPointCounts = new RingPointCounts(settings.weightKind());
     responseWindowNanos = objectives.statisticsWindowNanos() / 2;
   }
 
-  /** All endpoints, in the order in which they were first listed. */
-  Collection<Endpoint> endpoints() {
-    return endpoints.values();
+  /** The endpoints with attempts in flight, including those that are no longer ready. */
+  List<Endpoint> inFlightEndpoints() {
+    return inFlightEndpoints.asList();
+  }
+
+  /** Creates a walk along the hash ring of the ready endpoints. */
+  RingWalk newRingWalk() {
+    return ring.newWalk();
   }
 
-  /** The hash ring of the ready endpoints. */
-  HashRing ring() {
-    return ring;
+  /** The number of endpoints that are kept, ready or not. */
+  int endpointCount() {
+    return endpoints.size();
   }
 
   /** The number of ready endpoints. */
   int readyCount() {
-    return readyCount;
+    return counts.ready();
+  }
+
+  /** The number of ready endpoints that are local. */
+  int localCount() {
+    return counts.local();
   }
 
   /** The load in flight at all ready endpoints, in average requests. */
@@ -69,8 +82,7 @@
 
   /** Whether the endpoint is in this balancer's zone, or cross-zone traffic costs nothing. */
   boolean isLocal(Endpoint endpoint) {
-    return settings.costs().crossZone() == 0
-        || endpoint.descriptor().zone().equals(settings.zone());
+    return counts.isLocal(endpoint.descriptor());
   }
 
   /**
@@ -84,6 +96,9 @@
 
   /** Adds an attempt that was forwarded to a ready endpoint. */
   void attemptStarted(Endpoint endpoint, double load) {
+    if (endpoint.inFlight() == 0) {
+      inFlightEndpoints.add(endpoint);
+    }
     endpoint.addAttempt(load);
     readyLoad += load;
   }
@@ -91,23 +106,36 @@
   /** Removes an attempt that has completed. */
   void attemptCompleted(Endpoint endpoint, double load) {
     endpoint.removeAttempt(load);
+    if (endpoint.inFlight() == 0) {
+      inFlightEndpoints.remove(endpoint);
+    }
     if (endpoint.isReady()) {
       readyLoad -= load;
     }
   }
 
-  /** Applies an update of any kind but {@link EndpointListUpdate.Kind#FAILED}. */
+  /**
+   * Applies an update of any kind but {@link EndpointListUpdate.Kind#FAILED}. A delta takes time in
+   * proportion to its entries and to the endpoints with attempts in flight, other updates also to
+   * the listed endpoints.
+   */
   void apply(EndpointListUpdate update, long nowNanos) {
+    List<Endpoint> changed = new ArrayList<>();
     for (EndpointDescriptor descriptor : changesIn(update)) {
-      apply(descriptor, nowNanos);
+      Endpoint endpoint =
+          endpoints.computeIfAbsent(
+              descriptor.endpointId(),
+              id -> new Endpoint(id, new ResponseStatistics(responseWindowNanos)));
+      if (apply(descriptor, endpoint, nowNanos)) {
+        changed.add(endpoint);
+      }
     }
-    rebuildRing();
-    endpoints
-        .values()
-        .removeIf(
-            endpoint ->
-                endpoint.descriptor().status() == EndpointStatus.REMOVED
-                    && endpoint.inFlight() == 0);
+    readyLoad = inFlightEndpoints.readyLoad();
+    localEndpointTrafficFraction =
+        Math.min(
+            1.0 / Math.max(1, counts.local()), (double) counts.zones() / Math.max(1, readyCount()));
+    updateRing(changed);
+    dropRemoved(changed);
   }
 
   private Collection<EndpointDescriptor> changesIn(EndpointListUpdate update) {
@@ -134,61 +162,68 @@
         last.weight());
   }
 
-  private void apply(EndpointDescriptor descriptor, long nowNanos) {
-    Endpoint endpoint =
-        endpoints.computeIfAbsent(
-            descriptor.endpointId(),
-            id ->
-                new Endpoint(
-                    id,
-                    new ResponseStatistics(responseWindowNanos, nowNanos),
-                    InFlightTime.newWindow(nowNanos)));
+  /** Applies an entry to its endpoint and returns whether it differs from the previous one. */
+  private boolean apply(EndpointDescriptor descriptor, Endpoint endpoint, long nowNanos) {
     if (descriptor.startedNanos() > endpoint.startedAtNanos()) {
       endpoint.recordRestart(descriptor.startedNanos());
       endpoint.outlierState.reset();
       // Random, so that balancers with equal traffic do not forward their first attempt in step.
       endpoint.slowStartState.reset(random.nextDouble(), nowNanos);
     }
+    EndpointDescriptor previous = endpoint.descriptor();
     endpoint.setDescriptor(descriptor);
+    if (descriptor.equals(previous)) {
+      return false;
+    }
+    if (previous != null) {
+      counts.remove(previous);
+    }
+    counts.add(descriptor);
+    return true;
   }
 
-  private void rebuildRing() {
-    List<Endpoint> members =
-        endpoints.values().stream()
-            .filter(Endpoint::isReady)
-            .sorted(Comparator.comparingLong(endpoint -> endpoint.id))
-            .toList();
-    readyCount = members.size();
-    readyLoad = members.stream().mapToDouble(Endpoint::load).sum();
-    localEndpointTrafficFraction = localEndpointTrafficFraction(members);
-    if (medianWeight == 0 && readyCount > 0) {
-      // Never recomputed, so that an update moves only the keys of endpoints that changed.
-      double[] weights =
-          members.stream()
-              .mapToDouble(endpoint -> endpoint.descriptor().weight())
-              .sorted()
-              .toArray();
-      medianWeight = weights[readyCount / 2];
+  /** Drops the endpoints that are listed as removed, unless they have attempts in flight. */
+  private void dropRemoved(List<Endpoint> changed) {
+    for (Endpoint endpoint : changed) {
+      if (isRemoved(endpoint)) {
+        removedEndpoints.add(endpoint);
+      }
     }
-    ring = new HashRing(members, this::ringPointCount);
+    for (Endpoint endpoint : removedEndpoints) {
+      if (isRemoved(endpoint) && endpoint.inFlight() == 0) {
+        endpoints.remove(endpoint.id);
+      }
+    }
+    removedEndpoints.removeIf(endpoint -> !isRemoved(endpoint) || endpoint.inFlight() == 0);
+  }
+
+  private static boolean isRemoved(Endpoint endpoint) {
+    return endpoint.descriptor().status() == EndpointStatus.REMOVED;
   }
 
-  private double localEndpointTrafficFraction(List<Endpoint> members) {
-    long local = members.stream().filter(this::isLocal).count();
-    long zones = members.stream().map(endpoint -> endpoint.descriptor().zone()).distinct().count();
-    return Math.min(1.0 / Math.max(1, local), (double) zones / Math.max(1, members.size()));
+  private List<Endpoint> readyEndpointsById() {
+    return endpoints.values().stream()
+        .filter(Endpoint::isReady)
+        .sorted(Comparator.comparingLong(endpoint -> endpoint.id))
+        .toList();
   }
 
-  private long ringPointCount(Endpoint endpoint) {
-    boolean isWeightASize =
-        settings.weightKind() == WeightKind.NOMINAL || settings.weightKind() == WeightKind.ROUGH;
-    if (!isWeightASize || medianWeight <= 0) {
-      return RING_POINTS_PER_ENDPOINT;
+  /** Gives the changed endpoints their points on the ring. */
+  private void updateRing(List<Endpoint> changed) {
+    if (readyCount() > 0 && ringPointCounts.needsMedianWeight()) {
+      List<Endpoint> ready = readyEndpointsById();
+      ringPointCounts.setMedianWeight(ready);
+      ring.replaceAll(ready, ringPointCounts::of);
+      return;
+    }
+    long changedMembers =
+        changed.stream()
+            .filter(endpoint -> endpoint.ringPointCount != ringPointCounts.of(endpoint))
+            .count();
+    if (changedMembers * REBUILD_DIVISOR > readyCount()) {
+      ring.replaceAll(readyEndpointsById(), ringPointCounts::of);
+    } else {
+      changed.forEach(endpoint -> ring.setPointCount(endpoint, ringPointCounts.of(endpoint)));
     }
-    double relativeWeight =
-        Math.min(
-            MAX_RELATIVE_WEIGHT,
-            Math.max(1 / MAX_RELATIVE_WEIGHT, endpoint.descriptor().weight() / medianWeight));
-    return Math.round(RING_POINTS_PER_ENDPOINT * relativeWeight);
   }
 }
--- a/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -1,5 +1,7 @@
 package loadbalancer.policy;
 
+import java.util.HashSet;
+import java.util.Set;
 import java.util.SplittableRandom;
 
 /**
@@ -43,6 +45,10 @@
   private final EndpointRegistry registry;
   private final SplittableRandom random;
   private final double minSilenceNanos;
+
+  /** The endpoints whose ejection had not ended when they were last counted. */
+  private final Set<Endpoint> ejectedEndpoints = new HashSet<>();
+
   private boolean isPanicMode;
 
   /** The outlier detection state of one endpoint. */
@@ -97,7 +103,8 @@
                 + LOCAL_DELAY_ALLOWANCE * localDelayNanos;
   }
 
-  private static boolean isEjected(Endpoint endpoint, long nowNanos) {
+  /** Whether the endpoint is ejected at present. */
+  static boolean isEjected(Endpoint endpoint, long nowNanos) {
     return endpoint.outlierState.ejectedUntilNanos > nowNanos;
   }
 
@@ -139,18 +146,32 @@
       state.consecutiveEjections++;
       // Jitter, so that the balancers do not all return to the endpoint at the same time.
       state.ejectedUntilNanos = nowNanos + (long) (ejectionNanos * (0.5 + random.nextDouble() / 2));
+      ejectedEndpoints.add(endpoint);
     }
   }
 
   /** Checks the number of ejected or unresponsive ready endpoints against the panic threshold. */
   void updatePanic(long nowNanos) {
+    isPanicMode = countUnusable(nowNanos) > PANIC_THRESHOLD * registry.readyCount();
+  }
+
+  /**
+   * Counts the ready endpoints that are ejected or unresponsive, in time proportional to the
+   * endpoints that are ejected or have attempts in flight.
+   */
+  int countUnusable(long nowNanos) {
+    ejectedEndpoints.removeIf(endpoint -> !isEjected(endpoint, nowNanos));
     int unusable = 0;
-    for (Endpoint endpoint : registry.endpoints()) {
+    for (Endpoint endpoint : ejectedEndpoints) {
+      unusable += endpoint.isReady() ? 1 : 0;
+    }
+    for (Endpoint endpoint : registry.inFlightEndpoints()) {
       if (endpoint.isReady()
-          && (isEjected(endpoint, nowNanos) || isUnresponsive(endpoint, nowNanos))) {
+          && !isEjected(endpoint, nowNanos)
+          && isUnresponsive(endpoint, nowNanos)) {
         unusable++;
       }
     }
-    isPanicMode = unusable > PANIC_THRESHOLD * registry.readyCount();
+    return unusable;
   }
 }
