--- a/src/main/java/loadbalancer/config/EndpointList.java
+++ b/src/main/java/loadbalancer/config/EndpointList.java
@@ -1,6 +1,7 @@
 package loadbalancer.config;
 
 import java.net.InetSocketAddress;
+import java.util.EnumMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
@@ -17,6 +18,9 @@
  */
 public record EndpointList(long version, boolean full, List<Endpoint> endpoints) {
 
+  /** The field of the JSON object that holds the entries. */
+  static final String ENTRIES_FIELD = "endpoints";
+
   private static final Map<String, EndpointStatus> STATUS_BY_NAME =
       Map.of(
           "in_service",
@@ -39,7 +43,13 @@
    * @param address the address at which this proxy reaches the endpoint
    * @param descriptor the properties of the endpoint that the policy uses
    */
-  public record Endpoint(InetSocketAddress address, EndpointDescriptor descriptor) {}
+  public record Endpoint(InetSocketAddress address, EndpointDescriptor descriptor) {
+
+    /** Whether the endpoint must get no new requests. */
+    public boolean isDraining() {
+      return descriptor.status() != EndpointStatus.READY;
+    }
+  }
 
   /**
    * Reads a list from the JSON that the discovery service sends.
@@ -47,10 +57,22 @@
    * @throws WireFormatException if a field is missing or malformed
    */
   public static EndpointList fromJson(JsonObjectReader list) {
-    return new EndpointList(
-        list.integer("index"),
-        list.bool("snapshot", false),
-        list.objects("endpoints").stream().map(EndpointList::endpoint).toList());
+    return withEntries(
+        list, list.objects(ENTRIES_FIELD).stream().map(EndpointList::endpoint).toList());
+  }
+
+  /**
+   * Reads a list whose entries have been converted by {@link #endpoint} already.
+   *
+   * @throws WireFormatException if a field is missing or malformed
+   */
+  static EndpointList fromConvertedEntries(JsonObjectReader list) {
+    List<?> entries = list.elements(ENTRIES_FIELD);
+    return withEntries(list, entries.stream().map(Endpoint.class::cast).toList());
+  }
+
+  private static EndpointList withEntries(JsonObjectReader list, List<Endpoint> entries) {
+    return new EndpointList(list.integer("index"), list.bool("snapshot", false), entries);
   }
 
   /**
@@ -58,24 +80,31 @@
    * pairs for a log line.
    */
   public String summary() {
+    Map<EndpointStatus, Integer> counts = new EnumMap<>(EndpointStatus.class);
+    for (Endpoint endpoint : endpoints) {
+      counts.merge(endpoint.descriptor().status(), 1, Integer::sum);
+    }
     StringBuilder text = new StringBuilder("version=" + version + " full=" + full);
     for (EndpointStatus status : EndpointStatus.values()) {
       text.append(' ')
           .append(status.name().toLowerCase(Locale.ROOT))
           .append('=')
-          .append(
-              endpoints.stream()
-                  .filter(endpoint -> endpoint.descriptor().status() == status)
-                  .count());
+          .append(counts.getOrDefault(status, 0));
     }
     return text.toString();
   }
 
-  private static Endpoint endpoint(JsonObjectReader entry) {
+  /**
+   * Reads one entry.
+   *
+   * @throws WireFormatException if a field is missing or malformed
+   */
+  static Endpoint endpoint(JsonObjectReader entry) {
     EndpointDescriptor descriptor =
         new EndpointDescriptor(
             endpointId(entry.text("name")),
-            entry.text("zone", ""),
+            // Many entries have the same few zones and would each hold a copy of the name.
+            entry.text("zone", "").intern(),
             (int) entry.integer("group", 0),
             entry.enumValue("status", STATUS_BY_NAME),
             entry.integer("since_ms", 0) * NANOS_PER_MILLI,
--- a/src/main/java/loadbalancer/config/JsonObjectReader.java
+++ b/src/main/java/loadbalancer/config/JsonObjectReader.java
@@ -57,6 +57,13 @@
     return switch (parser.currentToken()) {
       case START_OBJECT -> readObject(parser);
       case START_ARRAY -> readArray(parser);
+      default -> readScalar(parser);
+    };
+  }
+
+  /** Reads the parser's current token, which is not the start of an object or an array. */
+  static Object readScalar(JsonParser parser) throws IOException {
+    return switch (parser.currentToken()) {
       case VALUE_STRING -> parser.getText();
       case VALUE_NUMBER_INT -> readInteger(parser);
       case VALUE_NUMBER_FLOAT -> parser.getDoubleValue();
@@ -90,9 +97,9 @@
     return parser.getLongValue();
   }
 
-  /** Wraps a value as an object. All maps come from {@link #readObject}, so keys are strings. */
+  /** Wraps a value as an object. All maps are fields of JSON objects, so keys are strings. */
   @SuppressWarnings("unchecked")
-  private static JsonObjectReader asObject(String path, Object value) {
+  static JsonObjectReader asObject(String path, Object value) {
     if (value instanceof Map<?, ?> map) {
       return new JsonObjectReader(path, (Map<String, Object>) map);
     }
@@ -200,11 +207,17 @@
     return values.get(name) instanceof Long number && number == 0;
   }
 
+  /** Returns the elements of a required array. */
+  List<?> elements(String name) {
+    if (values.get(name) instanceof List<?> list) {
+      return list;
+    }
+    throw unexpected(name, "an array");
+  }
+
   /** Returns the elements of a required array of objects. */
   public List<JsonObjectReader> objects(String name) {
-    if (!(values.get(name) instanceof List<?> list)) {
-      throw unexpected(name, "an array");
-    }
+    List<?> list = elements(name);
     List<JsonObjectReader> objects = new ArrayList<>(list.size());
     for (int i = 0; i < list.size(); i++) {
       objects.add(asObject(path + "." + name + "[" + i + "]", list.get(i)));
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListWatch.java
@@ -1,7 +1,6 @@
 package loadbalancer.proxy.discovery;
 
 import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFactory;
 import io.netty.channel.ChannelFuture;
@@ -9,6 +8,8 @@
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
+import io.netty.channel.FixedRecvByteBufAllocator;
+import io.netty.channel.RecvByteBufAllocator;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.HttpClientCodec;
@@ -21,7 +22,6 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.concurrent.ScheduledFuture;
-import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.config.EndpointList;
 import loadbalancer.proxy.telemetry.EventLog;
@@ -36,6 +36,15 @@
  */
 final class EndpointListWatch extends SimpleChannelInboundHandler<Object> {
 
+  /**
+   * The maximum number of bytes that are read and parsed before the event loop turns to other
+   * sockets and timers. A long list would otherwise hold it for tens of milliseconds.
+   */
+  static final int MAX_BYTES_PER_READ = 16 << 10;
+
+  private static final RecvByteBufAllocator READ_BUFFERS =
+      new FixedRecvByteBufAllocator(MAX_BYTES_PER_READ).maxMessagesPerRead(1);
+
   private enum State {
     /** The TCP connection is being opened. */
     CONNECTING,
@@ -83,6 +92,7 @@
             .channelFactory(channelFactory)
             // The deadlines of the watch limit the connect too.
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
+            .option(ChannelOption.RECVBUF_ALLOCATOR, READ_BUFFERS)
             .handler(
                 new ChannelInitializer<Channel>() {
                   @Override
@@ -138,12 +148,12 @@
   }
 
   @Override
-  protected void channelRead0(ChannelHandlerContext context, Object message) throws IOException {
+  protected void channelRead0(ChannelHandlerContext context, Object message) {
     if (state == State.ENDED) {
       return;
     }
-    if (message instanceof ByteBuf listText) {
-      receiveList(EndpointListDecoder.parse(listText));
+    if (message instanceof EndpointList list) {
+      receiveList(list);
     } else {
       extendDeadlines(message);
       failOnErrorOrEnd((HttpObject) message);
