--- a/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
+++ b/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
@@ -6,7 +6,6 @@
 import java.util.Map;
 import java.util.Set;
 import loadbalancer.config.EndpointList;
-import loadbalancer.policy.event.EndpointDescriptor;
 
 /**
  * The endpoints of the endpoint list, and removed endpoints until the attempts to them have
@@ -59,15 +58,14 @@
   }
 
   private void apply(EndpointList.Endpoint entry) {
-    EndpointDescriptor descriptor = entry.descriptor();
-    UpstreamEndpoint endpoint = endpoints.get(descriptor.endpointId());
+    long endpointId = entry.descriptor().endpointId();
+    UpstreamEndpoint endpoint = endpoints.get(endpointId);
     if (endpoint == null) {
-      endpoint = new UpstreamEndpoint(descriptor, pools.createPool(entry.address()));
-      endpoints.put(descriptor.endpointId(), endpoint);
-    } else if (endpoint.isRemoved() || !endpoint.pool().address().equals(entry.address())) {
-      endpoint.replacePool(pools.createPool(entry.address()));
+      endpoint = new UpstreamEndpoint(pools, entry);
+      endpoints.put(endpointId, endpoint);
+    } else {
+      endpoint.update(entry);
     }
-    endpoint.updateDescriptor(descriptor);
     if (endpoint.isRemoved()) {
       remove(endpoint);
     }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
@@ -1,29 +1,38 @@
 package loadbalancer.proxy.upstream;
 
+import java.net.InetSocketAddress;
+import loadbalancer.config.EndpointList;
 import loadbalancer.policy.event.EndpointDescriptor;
 import loadbalancer.policy.event.EndpointStatus;
 
 /**
- * An endpoint with its latest entry in the endpoint list and its connection pool. Modified by
+ * An endpoint with its latest entry in the endpoint list and its connection pool, which is created
+ * when it is first used: a proxy never forwards to most endpoints of a large list. Modified by
  * {@link EndpointTable} only. Not thread-safe: used on the event loop only.
  */
 public final class UpstreamEndpoint {
 
+  private final UpstreamConnectionPools pools;
+  private InetSocketAddress address;
   private EndpointDescriptor descriptor;
   private EndpointStatus status;
+
+  /** The connections to the address; null until first used. */
   private EndpointConnectionPool pool;
+
   private int attemptsInFlight;
 
   /**
    * Creates an endpoint without attempts in flight.
    *
-   * @param descriptor the endpoint's entry in the list
-   * @param pool the connections to the endpoint's address
+   * @param pools creates the endpoint's connection pool
+   * @param entry the endpoint's entry in the list
    */
-  UpstreamEndpoint(EndpointDescriptor descriptor, EndpointConnectionPool pool) {
-    this.descriptor = descriptor;
-    this.status = descriptor.status();
-    this.pool = pool;
+  UpstreamEndpoint(UpstreamConnectionPools pools, EndpointList.Endpoint entry) {
+    this.pools = pools;
+    address = entry.address();
+    descriptor = entry.descriptor();
+    status = descriptor.status();
   }
 
   /** The latest entry in the list. Its status does not show a removal by absence from the list. */
@@ -31,11 +40,24 @@
     return descriptor;
   }
 
-  /** The connections to the endpoint's current address. */
+  /** The connections to the endpoint's current address; closed if the endpoint is removed. */
   public EndpointConnectionPool pool() {
+    if (pool == null) {
+      pool = pools.createPool(address);
+      if (isRemoved()) {
+        pool.close();
+      }
+    }
     return pool;
   }
 
+  /** Whether the entry is the same as the latest one, and the endpoint was not removed since. */
+  boolean hasEntry(EndpointList.Endpoint entry) {
+    return status == entry.descriptor().status()
+        && descriptor.equals(entry.descriptor())
+        && address.equals(entry.address());
+  }
+
   /** Whether the endpoint must get no new requests, because it is draining or was removed. */
   public boolean isDraining() {
     return status != EndpointStatus.READY;
@@ -51,10 +73,18 @@
     return attemptsInFlight > 0;
   }
 
-  /** Replaces the descriptor and the status by those of a new entry in the list. */
-  void updateDescriptor(EndpointDescriptor latest) {
-    descriptor = latest;
-    status = latest.status();
+  /**
+   * Replaces the entry by a new one. The current pool is closed after a change of address or a
+   * return to the list.
+   */
+  void update(EndpointList.Endpoint latest) {
+    if (isRemoved() || !address.equals(latest.address())) {
+      closePool();
+      pool = null;
+    }
+    address = latest.address();
+    descriptor = latest.descriptor();
+    status = descriptor.status();
   }
 
   /**
@@ -63,15 +93,13 @@
    */
   void remove() {
     status = EndpointStatus.REMOVED;
-    pool.close();
+    closePool();
   }
 
-  /**
-   * Closes the current pool and uses a new one, after a change of address or a return to the list.
-   */
-  void replacePool(EndpointConnectionPool newPool) {
-    pool.close();
-    pool = newPool;
+  private void closePool() {
+    if (pool != null) {
+      pool.close();
+    }
   }
 
   /** Adds an attempt to those in flight. */
