--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/coordinator/EndpointListApplier.java
@@ -0,0 +1,128 @@
+package loadbalancer.proxy.coordinator;
+
+import java.util.ArrayDeque;
+import java.util.List;
+import java.util.Queue;
+import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.TimeUnit;
+import loadbalancer.config.EndpointList;
+import loadbalancer.policy.event.EndpointDescriptor;
+import loadbalancer.policy.event.EndpointListUpdate;
+import loadbalancer.proxy.upstream.EndpointTable;
+
+/**
+ * Applies updates of the endpoint list to the endpoint table and notifies the policy of them, in
+ * the order in which they are received.
+ *
+ * <p>A short list is applied at once. A long one is compared with the table and its changes are
+ * applied in slices, between which the event loop handles requests and timers; lists that arrive
+ * meanwhile wait. The policy receives a long list of either kind as a sequence of {@link
+ * EndpointListUpdate.Kind#DELTA} updates, at least one, so that the list ends a backoff even if it
+ * changes nothing.
+ *
+ * <p>Not thread-safe: used on the event loop only.
+ */
+final class EndpointListApplier {
+
+  /** The maximum number of changes that are applied before the event loop turns to other work. */
+  static final int MAX_CHANGES_PER_SLICE = 64;
+
+  /** The same for entries that are compared only, which takes far less time. */
+  static final int MAX_COMPARISONS_PER_SLICE = 1_000;
+
+  private final ScheduledExecutorService eventLoop;
+  private final EndpointTable endpoints;
+  private final PolicyEventQueue policyEvents;
+  private final Queue<EndpointList> waitingLists = new ArrayDeque<>();
+
+  /** The remaining changes of the long list being applied; null if there is none. */
+  private EndpointListChanges currentChanges;
+
+  private boolean isSliceScheduled;
+
+  /**
+   * Creates an applier.
+   *
+   * @param eventLoop runs the slices
+   * @param endpoints the table that lists are applied to
+   * @param policyEvents notifies the policy
+   */
+  EndpointListApplier(
+      ScheduledExecutorService eventLoop, EndpointTable endpoints, PolicyEventQueue policyEvents) {
+    this.eventLoop = eventLoop;
+    this.endpoints = endpoints;
+    this.policyEvents = policyEvents;
+  }
+
+  /** Applies a list of any length completely before returning; called before all other lists. */
+  void applyCached(EndpointList list) {
+    endpoints.applyFullList(list.endpoints());
+    notifyPolicy(EndpointListUpdate.Kind.CACHED, list.endpoints());
+  }
+
+  /** Applies a list after those before it: at once, or its first slice, if none is waiting. */
+  void apply(EndpointList list) {
+    waitingLists.add(list);
+    if (!isSliceScheduled) {
+      runSlice();
+    }
+  }
+
+  private void runScheduledSlice() {
+    isSliceScheduled = false;
+    runSlice();
+  }
+
+  private void runSlice() {
+    if (currentChanges != null) {
+      continueCurrentChanges();
+    } else {
+      startNextList(waitingLists.remove());
+    }
+    if (currentChanges != null || !waitingLists.isEmpty()) {
+      isSliceScheduled = true;
+      // A task passed to execute() would run before the loop turns to its sockets again.
+      eventLoop.schedule(this::runScheduledSlice, 0, TimeUnit.NANOSECONDS);
+    }
+  }
+
+  private void startNextList(EndpointList list) {
+    if (isLong(list)) {
+      currentChanges = new EndpointListChanges(endpoints, list);
+      continueCurrentChanges();
+    } else if (list.full()) {
+      endpoints.applyFullList(list.endpoints());
+      notifyPolicy(EndpointListUpdate.Kind.FULL, list.endpoints());
+    } else {
+      applyChanges(list.endpoints());
+    }
+  }
+
+  /** Whether a list may make more changes than one slice; a full list can remove any endpoint. */
+  private boolean isLong(EndpointList list) {
+    return list.endpoints().size() > MAX_CHANGES_PER_SLICE
+        || (list.full() && endpoints.size() > MAX_CHANGES_PER_SLICE);
+  }
+
+  private void continueCurrentChanges() {
+    if (!currentChanges.isCompared()) {
+      currentChanges.compareNext(MAX_COMPARISONS_PER_SLICE);
+      return;
+    }
+    applyChanges(currentChanges.takeNext(MAX_CHANGES_PER_SLICE));
+    if (currentChanges.isEmpty()) {
+      currentChanges = null;
+    }
+  }
+
+  private void applyChanges(List<EndpointList.Endpoint> changedEntries) {
+    endpoints.applyChanges(changedEntries);
+    notifyPolicy(EndpointListUpdate.Kind.DELTA, changedEntries);
+  }
+
+  private void notifyPolicy(EndpointListUpdate.Kind kind, List<EndpointList.Endpoint> entries) {
+    List<EndpointDescriptor> descriptors =
+        entries.stream().map(EndpointList.Endpoint::descriptor).toList();
+    policyEvents.notifyPolicy(new EndpointListUpdate(kind, descriptors));
+  }
+}
--- a/src/main/java/loadbalancer/proxy/coordinator/EndpointListHandler.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/EndpointListHandler.java
@@ -1,19 +1,19 @@
 package loadbalancer.proxy.coordinator;
 
 import java.util.List;
+import java.util.concurrent.ScheduledExecutorService;
 import loadbalancer.config.EndpointList;
 import loadbalancer.policy.action.WatchEndpoints;
-import loadbalancer.policy.event.EndpointDescriptor;
 import loadbalancer.policy.event.EndpointListUpdate;
 import loadbalancer.proxy.upstream.EndpointTable;
 
 /**
- * Applies updates of the endpoint list to the endpoint table, notifies the policy of them, and
- * starts and stops the watch as the policy decides. Not thread-safe: used on the event loop only.
+ * Passes updates of the endpoint list on to be applied, and starts and stops the watch as the
+ * policy decides. Not thread-safe: used on the event loop only.
  */
 final class EndpointListHandler {
 
-  private final EndpointTable endpoints;
+  private final EndpointListApplier applier;
   private final PolicyEventQueue policyEvents;
   private EndpointWatch watch = isEnabled -> {};
 
@@ -21,11 +21,13 @@
    * Creates a handler. Until {@link #start} is called, starting or stopping the watch has no
    * effect.
    *
+   * @param eventLoop runs the parts of long updates
    * @param endpoints the table that updates are applied to
    * @param policyEvents notifies the policy
    */
-  EndpointListHandler(EndpointTable endpoints, PolicyEventQueue policyEvents) {
-    this.endpoints = endpoints;
+  EndpointListHandler(
+      ScheduledExecutorService eventLoop, EndpointTable endpoints, PolicyEventQueue policyEvents) {
+    applier = new EndpointListApplier(eventLoop, endpoints, policyEvents);
     this.policyEvents = policyEvents;
   }
 
@@ -37,25 +39,22 @@
    */
   void start(EndpointList cachedList, EndpointWatch endpointWatch) {
     watch = endpointWatch;
-    endpoints.applyFullList(cachedList.endpoints());
-    notifyPolicy(EndpointListUpdate.Kind.CACHED, cachedList);
+    applier.applyCached(cachedList);
   }
 
   /**
    * Applies an update, which holds the full list or only the entries that changed, and notifies the
-   * policy.
+   * policy. The rest of a long update is applied after this call returns.
    */
   void update(EndpointList list) {
-    if (list.full()) {
-      endpoints.applyFullList(list.endpoints());
-      notifyPolicy(EndpointListUpdate.Kind.FULL, list);
-    } else {
-      endpoints.applyChanges(list.endpoints());
-      notifyPolicy(EndpointListUpdate.Kind.DELTA, list);
-    }
+    applier.apply(list);
   }
 
-  /** Notifies the policy that the watch failed; the table keeps its endpoints. */
+  /**
+   * Notifies the policy that the watch failed; the table keeps its endpoints. A list that was
+   * received before is still applied to its end. The policy is notified without waiting for that,
+   * so that it does not delay the next watch; if it lasts until then, it ends the backoff again.
+   */
   void watchFailed() {
     policyEvents.notifyPolicy(new EndpointListUpdate(EndpointListUpdate.Kind.FAILED, List.of()));
   }
@@ -64,10 +63,4 @@
   void setWatchEnabled(WatchEndpoints action) {
     watch.setEnabled(action.enabled());
   }
-
-  private void notifyPolicy(EndpointListUpdate.Kind kind, EndpointList list) {
-    List<EndpointDescriptor> entries =
-        list.endpoints().stream().map(EndpointList.Endpoint::descriptor).toList();
-    policyEvents.notifyPolicy(new EndpointListUpdate(kind, entries));
-  }
 }
--- a/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/RequestCoordinator.java
@@ -52,7 +52,7 @@
     policyEvents = new PolicyEventQueue(this::handleEvent, requests::removeFinished, defectHandler);
     completer = new RequestCompleter(requests, policyEvents, counters);
     EndpointTable endpoints = new EndpointTable(environment.connectionPools());
-    endpointLists = new EndpointListHandler(endpoints, policyEvents);
+    endpointLists = new EndpointListHandler(environment.eventLoop(), endpoints, policyEvents);
     CoordinatorTables tables = new CoordinatorTables(requests, endpoints);
     AttemptStatistics statistics = new AttemptStatistics(settings, environment, counters);
     AttemptForwarder forwarder =
--- a/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
+++ b/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
@@ -4,8 +4,10 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import loadbalancer.config.EndpointList;
+import loadbalancer.policy.event.EndpointStatus;
 
 /**
  * The endpoints of the endpoint list, and removed endpoints until the attempts to them have
@@ -34,10 +36,30 @@
   }
 
   /** The number of endpoints, including removed ones with attempts in flight. */
-  int size() {
+  public int size() {
     return endpoints.size();
   }
 
+  /** The ids of the endpoints, including removed ones with attempts in flight; a copy. */
+  public List<Long> endpointIds() {
+    return List.copyOf(endpoints.keySet());
+  }
+
+  /** Whether an entry of the endpoint list would change nothing. */
+  public boolean isCurrent(EndpointList.Endpoint entry) {
+    UpstreamEndpoint endpoint = endpoints.get(entry.descriptor().endpointId());
+    return endpoint == null
+        ? entry.descriptor().status() == EndpointStatus.REMOVED
+        : endpoint.hasEntry(entry);
+  }
+
+  /** Returns an entry that removes this endpoint; empty if it is unknown or removed already. */
+  public Optional<EndpointList.Endpoint> removalEntry(long endpointId) {
+    return Optional.ofNullable(endpoints.get(endpointId))
+        .filter(endpoint -> !endpoint.isRemoved())
+        .map(UpstreamEndpoint::removalEntry);
+  }
+
   /** Applies a partial update of the endpoint list, which contains the changed entries only. */
   public void applyChanges(List<EndpointList.Endpoint> changedEntries) {
     changedEntries.forEach(this::apply);
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
@@ -73,6 +73,19 @@
     return attemptsInFlight > 0;
   }
 
+  /** Returns a copy of the latest entry with the status of a removed endpoint. */
+  EndpointList.Endpoint removalEntry() {
+    EndpointDescriptor removed =
+        new EndpointDescriptor(
+            descriptor.endpointId(),
+            descriptor.zone(),
+            descriptor.deduplicationCell(),
+            EndpointStatus.REMOVED,
+            descriptor.startedNanos(),
+            descriptor.weight());
+    return new EndpointList.Endpoint(address, removed);
+  }
+
   /**
    * Replaces the entry by a new one. The current pool is closed after a change of address or a
    * return to the list.
--- a/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/RequestCoordinatorTest.java
@@ -3,11 +3,20 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import loadbalancer.config.EndpointList;
 import loadbalancer.policy.action.FetchEndpoints;
 import loadbalancer.policy.action.RejectRequest;
 import loadbalancer.policy.action.SetTimer;
 import loadbalancer.policy.event.AttemptCompleted;
 import loadbalancer.policy.event.AttemptStatus;
+import loadbalancer.policy.event.EndpointDescriptor;
+import loadbalancer.policy.event.EndpointListUpdate;
+import loadbalancer.policy.event.EndpointListUpdate.Kind;
+import loadbalancer.policy.event.EndpointStatus;
 import loadbalancer.policy.event.RequestArrived;
 import loadbalancer.policy.event.TimerFired;
 import loadbalancer.proxy.FakeHttpServer;
@@ -27,6 +36,14 @@
     coordinator.close();
   }
 
+  private static void await(CountDownLatch latch) {
+    try {
+      assertTrue(latch.await(30, TimeUnit.SECONDS));
+    } catch (InterruptedException e) {
+      throw new AssertionError(e);
+    }
+  }
+
   @Test
   void undecidedRequestIsRejectedAtDeadline() throws Exception {
     coordinator.start((event, actions) -> {});
@@ -75,6 +92,51 @@
     }
   }
 
+  @Test
+  void responseIsHandledBetweenTheSlicesOfALongEndpointList() throws Exception {
+    CountDownLatch sliceStarted = new CountDownLatch(1);
+    CountDownLatch responded = new CountDownLatch(2);
+    try (FakeHttpServer upstream =
+        new FakeHttpServer(
+            (request, connection, output) -> {
+              if (responded.getCount() == 1) {
+                await(sliceStarted);
+              }
+              FakeHttpServer.write(output, FakeHttpServer.okResponse("x"));
+              responded.countDown();
+            })) {
+      coordinator.start(
+          (event, actions) -> {
+            TestCoordinator.forwardOnArrival(event, actions);
+            if (event instanceof EndpointListUpdate update && update.kind() == Kind.DELTA) {
+              // Holds the event loop until the response is in the socket.
+              sliceStarted.countDown();
+              await(responded);
+            }
+          },
+          upstream);
+      coordinator.accept("1", "look", 15_000);
+      coordinator.nextCompletedAttempt();
+      List<EndpointList.Endpoint> entries = new ArrayList<>();
+      for (int id = 0; id < 3 * EndpointListApplier.MAX_CHANGES_PER_SLICE; id++) {
+        entries.add(
+            new EndpointList.Endpoint(
+                upstream.address(),
+                new EndpointDescriptor(id, "a", 1, EndpointStatus.READY, 0, 1)));
+      }
+      coordinator.accept("2", "look", 15_000, () -> coordinator.updateEndpoints(entries));
+      TestProxy.waitUntil(() -> coordinator.events.size() == 5);
+      assertEquals(
+          List.of(
+              RequestArrived.class,
+              EndpointListUpdate.class,
+              AttemptCompleted.class,
+              EndpointListUpdate.class,
+              EndpointListUpdate.class),
+          coordinator.events.stream().map(Object::getClass).toList());
+    }
+  }
+
   @Test
   void cappedDeadlineCompletesOpenRequest() throws Exception {
     coordinator.start((event, actions) -> {});
--- a/src/test/java/loadbalancer/proxy/coordinator/TestCoordinator.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/TestCoordinator.java
@@ -212,6 +212,11 @@
         new EndpointList(8, false, List.of(new EndpointList.Endpoint(address, descriptor))));
   }
 
+  /** Applies an endpoint list update that changes these entries; to be called on the event loop. */
+  void updateEndpoints(List<EndpointList.Endpoint> changedEntries) {
+    coordinator.updateEndpoints(new EndpointList(8, false, changedEntries));
+  }
+
   /** Applies a full endpoint list without any upstream; to be called on the event loop. */
   void removeAllEndpoints() {
     coordinator.updateEndpoints(new EndpointList(8, true, List.of()));
--- a/src/test/java/loadbalancer/proxy/discovery/EndpointListWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/EndpointListWatchTest.java
@@ -12,6 +12,7 @@
 import java.net.Socket;
 import java.net.SocketTimeoutException;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import loadbalancer.config.EndpointList;
 import loadbalancer.proxy.FakeHttpServer;
@@ -227,6 +228,28 @@
     }
   }
 
+  @Test
+  void longListWithAMalformedLastEntryIsRefusedWholeAndTheNextWatchContinuesBeforeIt()
+      throws Exception {
+    String[] entries = new String[1_000];
+    Arrays.fill(entries, TestProxy.endpointJson("s", TestProxy.unreachableAddress(), "in_service"));
+    entries[entries.length - 1] = "{\"name\":\"s\"}";
+    try (FakeHttpServer server =
+        new FakeHttpServer(
+            (request, connection, output) -> {
+              FakeHttpServer.write(output, RESPONSE_HEAD);
+              writeChunk(output, listJson(8, true) + listJson(9, false, entries));
+            })) {
+      DiscoveryClient discovery = startWatch(server.address(), 60_000);
+      assertEquals(8, ((EndpointList) listener.next()).version());
+      assertEquals("failed", listener.next());
+      assertTrue(listener.events.isEmpty());
+      loop.execute(() -> discovery.watch(true));
+      listener.next();
+      assertTrue(server.requests.get(1).contains("&after=8 "), server.requests.get(1));
+    }
+  }
+
   @Test
   void refusedConnectionFailsTheWatch() throws Exception {
     startWatch(TestProxy.unreachableAddress(), 60_000);
