--- a/src/main/java/loadbalancer/config/EndpointList.java
+++ b/src/main/java/loadbalancer/config/EndpointList.java
@@ -1,9 +1,8 @@
 package loadbalancer.config;
 
 import java.net.InetSocketAddress;
-import java.util.EnumMap;
+import java.util.Collections;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import loadbalancer.policy.event.EndpointDescriptor;
 import loadbalancer.policy.event.EndpointStatus;
@@ -15,8 +14,10 @@
  * @param version the version of the service's list after this message
  * @param full whether {@code endpoints} is the complete list; if not, it holds the changed entries
  * @param endpoints the entries
+ * @param counts the number of entries of each status
  */
-public record EndpointList(long version, boolean full, List<Endpoint> endpoints) {
+public record EndpointList(
+    long version, boolean full, List<Endpoint> endpoints, EndpointCounts counts) {
 
   /** The field of the JSON object that holds the entries. */
   static final String ENTRIES_FIELD = "endpoints";
@@ -51,28 +52,37 @@
     }
   }
 
+  /** Creates a list and counts its entries. */
+  public EndpointList(long version, boolean full, List<Endpoint> endpoints) {
+    this(version, full, endpoints, EndpointCounts.of(endpoints));
+  }
+
   /**
    * Reads a list from the JSON that the discovery service sends.
    *
    * @throws WireFormatException if a field is missing or malformed
    */
   public static EndpointList fromJson(JsonObjectReader list) {
-    return withEntries(
-        list, list.objects(ENTRIES_FIELD).stream().map(EndpointList::endpoint).toList());
+    return new EndpointList(
+        list.integer("index"),
+        list.bool("snapshot", false),
+        list.objects(ENTRIES_FIELD).stream().map(EndpointList::endpoint).toList());
   }
 
   /**
-   * Reads a list whose entries have been converted by {@link #endpoint} already.
+   * Reads a list whose entries have been converted by {@link #endpoint} and counted already. No
+   * pass over the entries is made, since it would hold the event loop if the list is long.
    *
    * @throws WireFormatException if a field is missing or malformed
    */
-  static EndpointList fromConvertedEntries(JsonObjectReader list) {
-    List<?> entries = list.elements(ENTRIES_FIELD);
-    return withEntries(list, entries.stream().map(Endpoint.class::cast).toList());
-  }
-
-  private static EndpointList withEntries(JsonObjectReader list, List<Endpoint> entries) {
-    return new EndpointList(list.integer("index"), list.bool("snapshot", false), entries);
+  @SuppressWarnings("unchecked")
+  static EndpointList fromConvertedEntries(JsonObjectReader list, EndpointCounts counts) {
+    List<Endpoint> entries = (List<Endpoint>) list.elements(ENTRIES_FIELD);
+    return new EndpointList(
+        list.integer("index"),
+        list.bool("snapshot", false),
+        Collections.unmodifiableList(entries),
+        counts);
   }
 
   /**
@@ -80,18 +90,7 @@
    * pairs for a log line.
    */
   public String summary() {
-    Map<EndpointStatus, Integer> counts = new EnumMap<>(EndpointStatus.class);
-    for (Endpoint endpoint : endpoints) {
-      counts.merge(endpoint.descriptor().status(), 1, Integer::sum);
-    }
-    StringBuilder text = new StringBuilder("version=" + version + " full=" + full);
-    for (EndpointStatus status : EndpointStatus.values()) {
-      text.append(' ')
-          .append(status.name().toLowerCase(Locale.ROOT))
-          .append('=')
-          .append(counts.getOrDefault(status, 0));
-    }
-    return text.toString();
+    return "version=" + version + " full=" + full + " " + counts.summary();
   }
 
   /**
--- a/src/main/java/loadbalancer/config/EndpointListParser.java
+++ b/src/main/java/loadbalancer/config/EndpointListParser.java
@@ -20,10 +20,10 @@
   private final JsonParser parser;
   private final ByteArrayFeeder input;
   private final JsonObjectBuilder builder =
-      new JsonObjectBuilder(
-          "list",
-          EndpointList.ENTRIES_FIELD,
-          (path, value) -> EndpointList.endpoint(JsonObjectReader.asObject(path, value)));
+      new JsonObjectBuilder("list", EndpointList.ENTRIES_FIELD, this::convertEntry);
+
+  /** The entries of the current list so far. */
+  private EndpointCounts counts = EndpointCounts.NONE;
 
   /** The number of bytes in the parts before the current one. */
   private long bytesBeforePart;
@@ -56,7 +56,8 @@
     while (token != JsonToken.NOT_AVAILABLE) {
       JsonObjectReader list = builder.add(parser);
       if (list != null) {
-        completeLists.accept(EndpointList.fromConvertedEntries(list));
+        completeLists.accept(EndpointList.fromConvertedEntries(list, counts));
+        counts = EndpointCounts.NONE;
         hasObjectStart(part, (int) (parser.currentLocation().getByteOffset() - bytesBeforePart));
       }
       token = parser.nextToken();
@@ -64,6 +65,12 @@
     bytesBeforePart += part.length;
   }
 
+  private EndpointList.Endpoint convertEntry(String path, Object value) {
+    EndpointList.Endpoint entry = EndpointList.endpoint(JsonObjectReader.asObject(path, value));
+    counts = counts.plus(entry.descriptor().status());
+    return entry;
+  }
+
   /** Whether a list has started arriving and is not complete yet. */
   public boolean hasPartialList() {
     return builder.hasPartialObject();
--- a/src/main/java/loadbalancer/proxy/coordinator/EndpointListApplier.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/EndpointListApplier.java
@@ -28,7 +28,7 @@
   static final int MAX_CHANGES_PER_SLICE = 64;
 
   /** The same for entries that are compared only, which takes far less time. */
-  static final int MAX_COMPARISONS_PER_SLICE = 1_000;
+  static final int MAX_COMPARISONS_PER_SLICE = 500;
 
   private final ScheduledExecutorService eventLoop;
   private final EndpointTable endpoints;
--- a/src/main/java/loadbalancer/proxy/coordinator/EndpointListChanges.java
+++ b/src/main/java/loadbalancer/proxy/coordinator/EndpointListChanges.java
@@ -1,12 +1,12 @@
 package loadbalancer.proxy.coordinator;
 
+import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashSet;
+import java.util.HashMap;
 import java.util.Iterator;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
+import java.util.Queue;
 import loadbalancer.config.EndpointList;
 import loadbalancer.proxy.upstream.EndpointTable;
 
@@ -19,17 +19,19 @@
 final class EndpointListChanges {
 
   private final EndpointTable endpoints;
-  private final boolean isFullList;
-  private final Iterator<EndpointList.Endpoint> uncomparedEntries;
+  private final Iterator<EndpointList.Endpoint> entriesToIndex;
 
-  /** The ids in a full list; an endpoint of the table with another id has been removed. */
-  private final Set<Long> listedIds = new HashSet<>();
+  /** The entry of each endpoint in the list; if it has several, the last one counts. */
+  private final Map<Long, EndpointList.Endpoint> entryById;
 
-  /** The endpoints of the table that may be missing from a full list; null until then. */
-  private Iterator<Long> uncheckedIds;
+  /** The entries to compare with the table; null until all are indexed. */
+  private Iterator<EndpointList.Endpoint> entriesToCompare;
 
-  private final Map<Long, EndpointList.Endpoint> drainsAndRemovals = new LinkedHashMap<>();
-  private final Map<Long, EndpointList.Endpoint> otherChanges = new LinkedHashMap<>();
+  /** The endpoints of the table that may be missing from the list; none if it is not full. */
+  private final Iterator<Long> idsToFind;
+
+  private final Queue<EndpointList.Endpoint> drainsAndRemovals = new ArrayDeque<>();
+  private final Queue<EndpointList.Endpoint> otherChanges = new ArrayDeque<>();
 
   /**
    * Starts without any change determined.
@@ -39,53 +41,47 @@
    */
   EndpointListChanges(EndpointTable endpoints, EndpointList list) {
     this.endpoints = endpoints;
-    isFullList = list.full();
-    uncomparedEntries = list.endpoints().iterator();
+    entriesToIndex = list.endpoints().iterator();
+    entryById = newMap(list.endpoints().size());
+    idsToFind = list.full() ? endpoints.endpointIds() : List.<Long>of().iterator();
+  }
+
+  /** Creates a map that never has to be rehashed, which would hold the event loop. */
+  private static Map<Long, EndpointList.Endpoint> newMap(int maxSize) {
+    float loadFactor = 0.75f;
+    return new HashMap<>((int) (maxSize / loadFactor) + 1, loadFactor);
   }
 
   /** Whether all changes have been determined. */
   boolean isCompared() {
-    if (uncomparedEntries.hasNext()) {
-      return false;
-    }
-    return !isFullList || (uncheckedIds != null && !uncheckedIds.hasNext());
+    return entriesToCompare != null && !entriesToCompare.hasNext() && !idsToFind.hasNext();
   }
 
-  /** Compares up to this number of entries, or of endpoints of the table, with the other side. */
+  /** Takes the comparison further by up to this number of entries or endpoints. */
   void compareNext(int maxCount) {
-    if (uncomparedEntries.hasNext()) {
-      compareEntries(maxCount);
-    } else if (uncheckedIds == null) {
-      uncheckedIds = endpoints.endpointIds().iterator();
-    } else {
-      findMissingEndpoints(maxCount);
+    for (int count = 0; count < maxCount && !isCompared(); count++) {
+      if (entriesToIndex.hasNext()) {
+        EndpointList.Endpoint entry = entriesToIndex.next();
+        entryById.put(entry.descriptor().endpointId(), entry);
+      } else if (entriesToCompare == null) {
+        entriesToCompare = entryById.values().iterator();
+      } else if (entriesToCompare.hasNext()) {
+        compare(entriesToCompare.next());
+      } else {
+        findInList(idsToFind.next());
+      }
     }
   }
 
-  private void compareEntries(int maxCount) {
-    for (int count = 0; count < maxCount && uncomparedEntries.hasNext(); count++) {
-      EndpointList.Endpoint entry = uncomparedEntries.next();
-      long endpointId = entry.descriptor().endpointId();
-      if (isFullList) {
-        listedIds.add(endpointId);
-      }
-      // If a list has several entries for one endpoint, the last one counts.
-      drainsAndRemovals.remove(endpointId);
-      otherChanges.remove(endpointId);
-      if (!endpoints.isCurrent(entry)) {
-        (entry.isDraining() ? drainsAndRemovals : otherChanges).put(endpointId, entry);
-      }
+  private void compare(EndpointList.Endpoint entry) {
+    if (!endpoints.isCurrent(entry)) {
+      (entry.isDraining() ? drainsAndRemovals : otherChanges).add(entry);
     }
   }
 
-  private void findMissingEndpoints(int maxCount) {
-    for (int count = 0; count < maxCount && uncheckedIds.hasNext(); count++) {
-      long endpointId = uncheckedIds.next();
-      if (!listedIds.contains(endpointId)) {
-        endpoints
-            .removalEntry(endpointId)
-            .ifPresent(removal -> drainsAndRemovals.put(endpointId, removal));
-      }
+  private void findInList(long endpointId) {
+    if (!entryById.containsKey(endpointId)) {
+      endpoints.removalEntry(endpointId).ifPresent(drainsAndRemovals::add);
     }
   }
 
@@ -97,18 +93,9 @@
   /** Returns up to this number of changes, which are not returned again. */
   List<EndpointList.Endpoint> takeNext(int maxCount) {
     List<EndpointList.Endpoint> taken = new ArrayList<>(maxCount);
-    moveValues(drainsAndRemovals, taken, maxCount);
-    moveValues(otherChanges, taken, maxCount);
-    return taken;
-  }
-
-  /** Moves values to a list until the list has this size. */
-  private static void moveValues(
-      Map<Long, EndpointList.Endpoint> source, List<EndpointList.Endpoint> target, int size) {
-    Iterator<EndpointList.Endpoint> values = source.values().iterator();
-    while (target.size() < size && values.hasNext()) {
-      target.add(values.next());
-      values.remove();
+    while (taken.size() < maxCount && !isEmpty()) {
+      taken.add(drainsAndRemovals.isEmpty() ? otherChanges.remove() : drainsAndRemovals.remove());
     }
+    return taken;
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
+++ b/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
@@ -1,11 +1,12 @@
 package loadbalancer.proxy.upstream;
 
-import java.util.HashMap;
 import java.util.HashSet;
+import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
 import loadbalancer.config.EndpointList;
 import loadbalancer.policy.event.EndpointStatus;
 
@@ -16,7 +17,9 @@
 public final class EndpointTable {
 
   private final UpstreamConnectionPools pools;
-  private final Map<Long, UpstreamEndpoint> endpoints = new HashMap<>();
+
+  /** By id. A concurrent map because {@link #endpointIds} allows changes during an iteration. */
+  private final Map<Long, UpstreamEndpoint> endpoints = new ConcurrentHashMap<>();
 
   /**
    * Creates an empty table.
@@ -40,9 +43,12 @@
     return endpoints.size();
   }
 
-  /** The ids of the endpoints, including removed ones with attempts in flight; a copy. */
-  public List<Long> endpointIds() {
-    return List.copyOf(endpoints.keySet());
+  /**
+   * The ids of the endpoints, including removed ones with attempts in flight. Endpoints may be
+   * added to the table and deleted from it during the iteration, which may or may not return them.
+   */
+  public Iterator<Long> endpointIds() {
+    return endpoints.keySet().iterator();
   }
 
   /** Whether an entry of the endpoint list would change nothing. */
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
@@ -51,10 +51,20 @@
     return pool;
   }
 
-  /** Whether the entry is the same as the latest one, and the endpoint was not removed since. */
+  /**
+   * Whether the entry is the same as the latest one, and the endpoint was not removed since. Does
+   * not use the equals method of the record, whose first call generates code and would hold the
+   * event loop for tens of milliseconds.
+   */
   boolean hasEntry(EndpointList.Endpoint entry) {
-    return status == entry.descriptor().status()
-        && descriptor.equals(entry.descriptor())
+    EndpointDescriptor other = entry.descriptor();
+    return status == other.status()
+        && descriptor.status() == other.status()
+        && descriptor.endpointId() == other.endpointId()
+        && descriptor.startedNanos() == other.startedNanos()
+        && descriptor.deduplicationCell() == other.deduplicationCell()
+        && Double.compare(descriptor.weight(), other.weight()) == 0
+        && descriptor.zone().equals(other.zone())
         && address.equals(entry.address());
   }
 
--- a/src/test/java/loadbalancer/proxy/coordinator/EndpointListApplierTest.java
+++ b/src/test/java/loadbalancer/proxy/coordinator/EndpointListApplierTest.java
@@ -11,6 +11,7 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
 import java.util.Queue;
@@ -130,7 +131,9 @@
       updates.forEach(update -> applyTo(policyStatuses, update));
       updates.clear();
       assertEquals(expectedTable.size(), table.size());
-      for (long id : expectedTable.endpointIds()) {
+      Iterator<Long> ids = expectedTable.endpointIds();
+      while (ids.hasNext()) {
+        long id = ids.next();
         EndpointDescriptor expected = expectedTable.find(id).descriptor();
         assertEquals(expected, table.find(id).descriptor());
         assertEquals(expected.status(), policyStatuses.get(id));
--- a/src/test/java/loadbalancer/proxy/upstream/EndpointTableTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/EndpointTableTest.java
@@ -11,6 +11,7 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
+import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.config.EndpointList;
@@ -87,4 +88,28 @@
     table.applyChanges(List.of(entry(1, EndpointStatus.READY)));
     assertFalse(table.find(1).isDraining());
   }
+
+  @Test
+  void entryThatDiffersInAnyFieldIsNotCurrent() {
+    EndpointStatus ready = EndpointStatus.READY;
+    List<EndpointDescriptor> others =
+        List.of(
+            new EndpointDescriptor(2, "a", 1, ready, 0, 1),
+            new EndpointDescriptor(1, "b", 1, ready, 0, 1),
+            new EndpointDescriptor(1, "a", 2, ready, 0, 1),
+            new EndpointDescriptor(1, "a", 1, EndpointStatus.DRAINING, 0, 1),
+            new EndpointDescriptor(1, "a", 1, ready, 1, 1),
+            new EndpointDescriptor(1, "a", 1, ready, 0, 2));
+    assertEquals(EndpointDescriptor.class.getRecordComponents().length, others.size());
+    EndpointList.Endpoint current = entry(1, ready);
+    table.applyFullList(List.of(current));
+    assertTrue(table.isCurrent(current));
+    for (EndpointDescriptor other : others) {
+      assertFalse(table.isCurrent(new EndpointList.Endpoint(current.address(), other)));
+    }
+    InetSocketAddress address = new InetSocketAddress("127.0.0.2", 1);
+    assertFalse(table.isCurrent(new EndpointList.Endpoint(address, current.descriptor())));
+    table.applyFullList(List.of());
+    assertFalse(table.isCurrent(current), "removed by absence from the list");
+  }
 }
