--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListWatch.java
@@ -40,7 +40,7 @@
    * The maximum number of bytes that are read and parsed before the event loop turns to other
    * sockets and timers. A long list would otherwise hold it for tens of milliseconds.
    */
-  static final int MAX_BYTES_PER_READ = 16 << 10;
+  static final int MAX_BYTES_PER_READ = 8 << 10;
 
   private static final RecvByteBufAllocator READ_BUFFERS =
       new FixedRecvByteBufAllocator(MAX_BYTES_PER_READ).maxMessagesPerRead(1);
