--- a/src/main/java/loadbalancer/config/EndpointList.java
+++ b/src/main/java/loadbalancer/config/EndpointList.java
@@ -1,8 +1,8 @@
 package loadbalancer.config;
 
 import java.net.InetSocketAddress;
+import java.util.Collections;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import loadbalancer.policy.event.EndpointDescriptor;
 import loadbalancer.policy.event.EndpointStatus;
@@ -14,8 +14,13 @@
  * @param version the version of the service's list after this message
  * @param full whether {@code endpoints} is the complete list; if not, it holds the changed entries
  * @param endpoints the entries
+ * @param counts the number of entries of each status
  */
-public record EndpointList(long version, boolean full, List<Endpoint> endpoints) {
+public record EndpointList(
+    long version, boolean full, List<Endpoint> endpoints, EndpointCounts counts) {
+
+  /** The field of the JSON object that holds the entries. */
+  static final String ENTRIES_FIELD = "endpoints";
 
   private static final Map<String, EndpointStatus> STATUS_BY_NAME =
       Map.of(
@@ -39,7 +44,18 @@
    * @param address the address at which this proxy reaches the endpoint
    * @param descriptor the properties of the endpoint that the policy uses
    */
-  public record Endpoint(InetSocketAddress address, EndpointDescriptor descriptor) {}
+  public record Endpoint(InetSocketAddress address, EndpointDescriptor descriptor) {
+
+    /** Whether the endpoint must get no new requests. */
+    public boolean isDraining() {
+      return descriptor.status() != EndpointStatus.READY;
+    }
+  }
+
+  /** Creates a list and counts its entries. */
+  public EndpointList(long version, boolean full, List<Endpoint> endpoints) {
+    this(version, full, endpoints, EndpointCounts.of(endpoints));
+  }
 
   /**
    * Reads a list from the JSON that the discovery service sends.
@@ -50,7 +66,23 @@
     return new EndpointList(
         list.integer("index"),
         list.bool("snapshot", false),
-        list.objects("endpoints").stream().map(EndpointList::endpoint).toList());
+        list.objects(ENTRIES_FIELD).stream().map(EndpointList::endpoint).toList());
+  }
+
+  /**
+   * Reads a list whose entries have been converted by {@link #endpoint} and counted already. No
+   * pass over the entries is made, since it would hold the event loop if the list is long.
+   *
+   * @throws WireFormatException if a field is missing or malformed
+   */
+  @SuppressWarnings("unchecked")
+  static EndpointList fromConvertedEntries(JsonObjectReader list, EndpointCounts counts) {
+    List<Endpoint> entries = (List<Endpoint>) list.elements(ENTRIES_FIELD);
+    return new EndpointList(
+        list.integer("index"),
+        list.bool("snapshot", false),
+        Collections.unmodifiableList(entries),
+        counts);
   }
 
   /**
@@ -58,24 +90,20 @@
    * pairs for a log line.
    */
   public String summary() {
-    StringBuilder text = new StringBuilder("version=" + version + " full=" + full);
-    for (EndpointStatus status : EndpointStatus.values()) {
-      text.append(' ')
-          .append(status.name().toLowerCase(Locale.ROOT))
-          .append('=')
-          .append(
-              endpoints.stream()
-                  .filter(endpoint -> endpoint.descriptor().status() == status)
-                  .count());
-    }
-    return text.toString();
+    return "version=" + version + " full=" + full + " " + counts.summary();
   }
 
-  private static Endpoint endpoint(JsonObjectReader entry) {
+  /**
+   * Reads one entry.
+   *
+   * @throws WireFormatException if a field is missing or malformed
+   */
+  static Endpoint endpoint(JsonObjectReader entry) {
     EndpointDescriptor descriptor =
         new EndpointDescriptor(
             endpointId(entry.text("name")),
-            entry.text("zone", ""),
+            // Many entries have the same few zones and would each hold a copy of the name.
+            entry.text("zone", "").intern(),
             (int) entry.integer("group", 0),
             entry.enumValue("status", STATUS_BY_NAME),
             entry.integer("since_ms", 0) * NANOS_PER_MILLI,
--- a/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
+++ b/src/main/java/loadbalancer/proxy/upstream/EndpointTable.java
@@ -1,12 +1,14 @@
 package loadbalancer.proxy.upstream;
 
-import java.util.HashMap;
 import java.util.HashSet;
+import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
 import loadbalancer.config.EndpointList;
-import loadbalancer.policy.event.EndpointDescriptor;
+import loadbalancer.policy.event.EndpointStatus;
 
 /**
  * The endpoints of the endpoint list, and removed endpoints until the attempts to them have
@@ -15,7 +17,9 @@
 public final class EndpointTable {
 
   private final UpstreamConnectionPools pools;
-  private final Map<Long, UpstreamEndpoint> endpoints = new HashMap<>();
+
+  /** By id. A concurrent map because {@link #endpointIds} allows changes during an iteration. */
+  private final Map<Long, UpstreamEndpoint> endpoints = new ConcurrentHashMap<>();
 
   /**
    * Creates an empty table.
@@ -35,10 +39,33 @@
   }
 
   /** The number of endpoints, including removed ones with attempts in flight. */
-  int size() {
+  public int size() {
     return endpoints.size();
   }
 
+  /**
+   * The ids of the endpoints, including removed ones with attempts in flight. Endpoints may be
+   * added to the table and deleted from it during the iteration, which may or may not return them.
+   */
+  public Iterator<Long> endpointIds() {
+    return endpoints.keySet().iterator();
+  }
+
+  /** Whether an entry of the endpoint list would change nothing. */
+  public boolean isCurrent(EndpointList.Endpoint entry) {
+    UpstreamEndpoint endpoint = endpoints.get(entry.descriptor().endpointId());
+    return endpoint == null
+        ? entry.descriptor().status() == EndpointStatus.REMOVED
+        : endpoint.hasEntry(entry);
+  }
+
+  /** Returns an entry that removes this endpoint; empty if it is unknown or removed already. */
+  public Optional<EndpointList.Endpoint> removalEntry(long endpointId) {
+    return Optional.ofNullable(endpoints.get(endpointId))
+        .filter(endpoint -> !endpoint.isRemoved())
+        .map(UpstreamEndpoint::removalEntry);
+  }
+
   /** Applies a partial update of the endpoint list, which contains the changed entries only. */
   public void applyChanges(List<EndpointList.Endpoint> changedEntries) {
     changedEntries.forEach(this::apply);
@@ -59,15 +86,14 @@
   }
 
   private void apply(EndpointList.Endpoint entry) {
-    EndpointDescriptor descriptor = entry.descriptor();
-    UpstreamEndpoint endpoint = endpoints.get(descriptor.endpointId());
+    long endpointId = entry.descriptor().endpointId();
+    UpstreamEndpoint endpoint = endpoints.get(endpointId);
     if (endpoint == null) {
-      endpoint = new UpstreamEndpoint(descriptor, pools.createPool(entry.address()));
-      endpoints.put(descriptor.endpointId(), endpoint);
-    } else if (endpoint.isRemoved() || !endpoint.pool().address().equals(entry.address())) {
-      endpoint.replacePool(pools.createPool(entry.address()));
+      endpoint = new UpstreamEndpoint(pools, entry);
+      endpoints.put(endpointId, endpoint);
+    } else {
+      endpoint.update(entry);
     }
-    endpoint.updateDescriptor(descriptor);
     if (endpoint.isRemoved()) {
       remove(endpoint);
     }
