--- /dev/null
+++ b/src/main/java/loadbalancer/scale/config/ArrivalSettings.java
@@ -0,0 +1,38 @@
+package loadbalancer.scale.config;
+
+/**
+ * The arrival of requests at a service: a Poisson process whose rate rises during bursts.
+ *
+ * @param requestsPerSecond the rate outside of bursts, for each upstream of the service
+ * @param burstMultiple the rate during a burst, as a multiple of {@code requestsPerSecond}
+ * @param burstMs the duration of a burst
+ * @param burstIntervalSeconds the mean time from the end of a burst to the next one; 0 for no
+ *     bursts
+ * @param keys the affinity keys
+ * @param routes the routes, each a request class of the policy
+ * @param tenants the tenants
+ */
+public record ArrivalSettings(
+    double requestsPerSecond,
+    double burstMultiple,
+    double burstMs,
+    double burstIntervalSeconds,
+    PopularitySettings keys,
+    PopularitySettings routes,
+    PopularitySettings tenants) {
+
+  private static final double MIN_REQUESTS_PER_SECOND = 0.001;
+  private static final double MAX_REQUESTS_PER_SECOND = 1_000_000;
+  private static final double MAX_BURST_MULTIPLE = 100;
+  private static final double MAX_BURST_MS = 3_600_000;
+  private static final double MAX_BURST_INTERVAL_SECONDS = 86_400;
+
+  /** Checks the fields. */
+  public ArrivalSettings {
+    FieldRange.check(
+        "requests-per-second", requestsPerSecond, MIN_REQUESTS_PER_SECOND, MAX_REQUESTS_PER_SECOND);
+    FieldRange.check("burst-multiple", burstMultiple, 1, MAX_BURST_MULTIPLE);
+    FieldRange.check("burst-ms", burstMs, 0, MAX_BURST_MS);
+    FieldRange.check("burst-interval-seconds", burstIntervalSeconds, 0, MAX_BURST_INTERVAL_SECONDS);
+  }
+}
