--- a/src/test/java/loadbalancer/proxy/FakeHttpServer.java
+++ b/src/test/java/loadbalancer/proxy/FakeHttpServer.java
@@ -31,6 +31,9 @@
     void handle(String request, Socket connection, OutputStream output) throws Exception;
   }
 
+  /** Well below the time after which a watch without a heartbeat fails. */
+  private static final long HEARTBEAT_MILLIS = 500;
+
   /** The text of each received request, in the order of receipt. */
   public final List<String> requests = new CopyOnWriteArrayList<>();
 
@@ -64,6 +67,26 @@
     return new FakeHttpServer((request, connection, output) -> write(output, okResponse(body)));
   }
 
+  /**
+   * Starts a discovery service that sends no list but keeps each watch alive by heartbeats, so that
+   * it does not time out, however slow the machine is.
+   */
+  public static FakeHttpServer keepingWatchesAlive() throws IOException {
+    return new FakeHttpServer(
+        (request, connection, output) -> {
+          write(output, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+          sendHeartbeats(connection, output);
+        });
+  }
+
+  /** Sends heartbeats in a chunked response to a watch until the connection is closed. */
+  public static void sendHeartbeats(Socket connection, OutputStream output) throws Exception {
+    while (!connection.isClosed()) {
+      write(output, "1\r\n\n\r\n");
+      Thread.sleep(HEARTBEAT_MILLIS);
+    }
+  }
+
   /** The text of a 200 response with this body, which must be ASCII. */
   public static String okResponse(String body) {
     return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
--- a/src/test/java/loadbalancer/proxy/ProcessDescriptorLimitTest.java
+++ b/src/test/java/loadbalancer/proxy/ProcessDescriptorLimitTest.java
@@ -5,9 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.io.OutputStream;
 import java.net.InetSocketAddress;
-import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -25,8 +23,6 @@
 /** Tests the program as a process with a limit of 256 file descriptors. */
 class ProcessDescriptorLimitTest {
 
-  private static final long HEARTBEAT_MILLIS = 500;
-
   @TempDir private Path folder;
   private TestProcess program;
 
@@ -50,19 +46,6 @@
         Arguments.of((Object) allTexts));
   }
 
-  /**
-   * Sends a watch response kept alive by heartbeats, so that it does not time out while the process
-   * starts.
-   */
-  private static void sendHeartbeats(String request, Socket connection, OutputStream output)
-      throws Exception {
-    FakeHttpServer.write(output, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    while (!connection.isClosed()) {
-      FakeHttpServer.write(output, "1\r\n\n\r\n");
-      Thread.sleep(HEARTBEAT_MILLIS);
-    }
-  }
-
   /**
    * Brings client and upstream connections to their limits while the discovery service closes the
    * connection of each watch. The process must not run out of descriptors ("Too many open files"),
@@ -84,8 +67,7 @@
                 FakeHttpServer.write(output, FakeHttpServer.okResponse("fine"));
               });
     }
-    try (FakeHttpServer discovery =
-        new FakeHttpServer(ProcessDescriptorLimitTest::sendHeartbeats)) {
+    try (FakeHttpServer discovery = FakeHttpServer.keepingWatchesAlive()) {
       Files.writeString(
           program.configurationFile(),
           TestProxy.configurationJson(discovery.address(), 1, upstreams)
--- a/src/test/java/loadbalancer/proxy/ProcessTest.java
+++ b/src/test/java/loadbalancer/proxy/ProcessTest.java
@@ -96,9 +96,9 @@
   @Test
   void sighupMovesWatchToNewDiscoveryAddressAndMalformedFileChangesNothing() throws Exception {
     try (FakeHttpServer upstream = FakeHttpServer.respondingWith("fine");
-        FakeHttpServer first = new FakeHttpServer((request, connection, output) -> {});
-        FakeHttpServer second = new FakeHttpServer((request, connection, output) -> {});
-        FakeHttpServer third = new FakeHttpServer((request, connection, output) -> {})) {
+        FakeHttpServer first = FakeHttpServer.keepingWatchesAlive();
+        FakeHttpServer second = FakeHttpServer.keepingWatchesAlive();
+        FakeHttpServer third = FakeHttpServer.keepingWatchesAlive()) {
       start(
           TestProxy.configurationJson(first.address(), 1, upstream),
           "PROXY_DISCOVERY",
@@ -131,9 +131,9 @@
    */
   @Test
   void configurationFileIsPolledIfSighupIsIgnoredAtStart() throws Exception {
-    try (FakeHttpServer first = new FakeHttpServer((request, connection, output) -> {});
-        FakeHttpServer second = new FakeHttpServer((request, connection, output) -> {});
-        FakeHttpServer third = new FakeHttpServer((request, connection, output) -> {})) {
+    try (FakeHttpServer first = FakeHttpServer.keepingWatchesAlive();
+        FakeHttpServer second = FakeHttpServer.keepingWatchesAlive();
+        FakeHttpServer third = FakeHttpServer.keepingWatchesAlive()) {
       Path file =
           Files.writeString(
               program.configurationFile(), TestProxy.configurationJson(first.address(), 1));
--- a/src/test/java/loadbalancer/proxy/TestProcess.java
+++ b/src/test/java/loadbalancer/proxy/TestProcess.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
+import java.io.File;
 import java.io.IOException;
 import java.io.InputStreamReader;
 import java.net.InetSocketAddress;
@@ -13,6 +14,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
 import loadbalancer.config.IpSocketAddress;
 
 /**
@@ -85,7 +88,7 @@
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-XX:+UseSerialGC",
             "-cp",
-            System.getProperty("java.class.path"),
+            balancerClassPath(),
             "loadbalancer.CommandLine",
             "serve"));
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
@@ -94,6 +97,20 @@
     return builder;
   }
 
+  /**
+   * Returns the class path with only what is in the balancer's jar, as in production. Each other
+   * library would take one of the process's file descriptors.
+   */
+  private static String balancerClassPath() {
+    return Stream.of(System.getProperty("java.class.path").split(File.pathSeparator))
+        .filter(
+            entry ->
+                entry.endsWith("classes")
+                    || entry.contains("netty-")
+                    || entry.contains("jackson-core-"))
+        .collect(Collectors.joining(File.pathSeparator));
+  }
+
   /**
    * Reads the log up to the next line that contains a text, and returns this line. Fails if the log
    * ends first.
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryRecoveryTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryRecoveryTest.java
@@ -177,6 +177,7 @@
                       output,
                       listJson(
                           8, true, TestProxy.endpointJson("s-0", kept.address(), "in_service")));
+                  FakeHttpServer.sendHeartbeats(connection, output);
                 })) {
       try (TestProxy proxy = new TestProxy(discoveryServer.address(), 1, kept, removed)) {
         TestProxy.waitUntil(() -> discoveryServer.requests.size() == 1);
