--- a/src/test/java/loadbalancer/scale/config/ConfigurationLoaderTest.java
+++ b/src/test/java/loadbalancer/scale/config/ConfigurationLoaderTest.java
@@ -109,7 +109,8 @@
 
   @Test
   void missingSeedIsReported() {
-    assertEquals(": seed: expected a value, got nothing", messageFor("[cold]\n"));
+    assertEquals(
+        ": seed: expected a value, got nothing", messageFor(VALID.replace("seed = 7\n", "")));
   }
 
   @Test
