--- a/src/test/java/loadbalancer/scale/ReportCheck.java
+++ b/src/test/java/loadbalancer/scale/ReportCheck.java
@@ -7,10 +7,14 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.scale.config.ChangeSettings;
+import loadbalancer.scale.config.ColdSettings;
 import loadbalancer.scale.config.ConfigurationFileException;
 import loadbalancer.scale.config.ConfigurationLoader;
 import loadbalancer.scale.config.ListSettings;
 import loadbalancer.scale.config.ScaleConfiguration;
+import loadbalancer.scale.experiment.ChangeExperiment;
+import loadbalancer.scale.experiment.ColdExperiment;
 import loadbalancer.scale.experiment.Experiment;
 import loadbalancer.scale.experiment.ExperimentRegistry;
 import loadbalancer.scale.experiment.ListExperiment;
@@ -72,7 +76,8 @@
     }
     check(present.equals(expected), "expected experiments " + expected + ", got " + present);
     configuration.list().ifPresent(this::checkList);
-    // The checks of further experiments follow here.
+    configuration.cold().ifPresent(this::checkCold);
+    configuration.change().ifPresent(this::checkChange);
   }
 
   /** Checks what holds for every experiment. */
@@ -109,6 +114,86 @@
     check(bytes.at("/unit").asText().equals("bytes"), "list: full-list-bytes is not in bytes");
   }
 
+  private void checkCold(ColdSettings settings) {
+    List<Double> expected = settings.balancerCounts().stream().map(Integer::doubleValue).toList();
+    for (JsonNode series : experiment(ColdExperiment.NAME).at("/series")) {
+      boolean hasBalancers = series.at("/size-unit").asText().equals("balancers");
+      check(
+          !hasBalancers || sizes(series).equals(expected),
+          "cold: " + series.at("/name") + " has sizes " + sizes(series));
+    }
+    check(sizes(series(ColdExperiment.NAME, "used-share")).equals(expected), "cold: used-share");
+    double warmUpSeconds = settings.upstreams().warmUpSeconds();
+    settings.balancerCounts().forEach(count -> checkRestarts(count, warmUpSeconds));
+  }
+
+  /** Checks the restarts with one number of balancers. */
+  private void checkRestarts(int balancers, double warmUpSeconds) {
+    String prefix = "balancers-" + balancers + ".";
+    double overBudget = value(ColdExperiment.NAME, prefix + "windows-over-budget");
+    check(overBudget == 0, "cold: " + overBudget + " windows over the budget, " + prefix);
+    double leastShare = value(ColdExperiment.NAME, prefix + "used-share.min");
+    double mostShare = value(ColdExperiment.NAME, prefix + "used-share.max");
+    check(leastShare > 0, "cold: used share of " + leastShare + ", " + prefix);
+    check(mostShare <= 1, "cold: used share of " + mostShare + ", " + prefix);
+    // Without a request, the delay is longer than the warm-up.
+    double delaySeconds = value(ColdExperiment.NAME, prefix + "first-request-delay.max");
+    check(delaySeconds < warmUpSeconds, "cold: no request at the restarted upstream, " + prefix);
+  }
+
+  private void checkChange(ChangeSettings settings) {
+    checkAboveZero("changes", "deliveries", "full-list-size", "balancer-mean", "machines-bytes");
+    double missing = value(ChangeExperiment.NAME, "deliveries-missing");
+    check(missing == 0, "change: " + missing + " deliveries are missing");
+    double converged = value(ChangeExperiment.NAME, "sampled-balancers-converged");
+    check(converged == settings.sampledBalancers(), "change: only " + converged + " converged");
+    for (JsonNode fact : experiment(ChangeExperiment.NAME).at("/facts")) {
+      String name = fact.at("/name").asText();
+      if (name.endsWith("-missing")) {
+        check(fact.at("/value").asDouble() == 0, "change: " + fact);
+      }
+      if (name.endsWith("-delay-p50")) {
+        checkDelays(name.substring(0, name.length() - "p50".length()));
+      }
+    }
+    checkAboveZero("steady-delay-p50");
+    for (JsonNode point : series(ChangeExperiment.NAME, "balancer-bytes").at("/points")) {
+      check(point.at("/value").asDouble() > 0, "change: balancer-bytes is not above 0");
+    }
+  }
+
+  private void checkDelays(String prefix) {
+    double p50 = value(ChangeExperiment.NAME, prefix + "p50");
+    double p99 = value(ChangeExperiment.NAME, prefix + "p99");
+    double worst = value(ChangeExperiment.NAME, prefix + "worst");
+    check(p50 <= p99 && p99 <= worst, "change: " + prefix + " is not in order");
+  }
+
+  private void checkAboveZero(String... facts) {
+    for (String name : facts) {
+      check(value(ChangeExperiment.NAME, name) > 0, "change: " + name + " is not above 0");
+    }
+  }
+
+  private static List<Double> sizes(JsonNode series) {
+    List<Double> sizes = new ArrayList<>();
+    series.at("/points").forEach(point -> sizes.add(point.at("/size").asDouble()));
+    return sizes;
+  }
+
+  private JsonNode series(String experiment, String name) {
+    for (JsonNode series : experiment(experiment).at("/series")) {
+      if (series.at("/name").asText().equals(name)) {
+        return series;
+      }
+    }
+    throw new IllegalStateException(experiment + ": no series " + name);
+  }
+
+  private double value(String experiment, String fact) {
+    return fact(experiment, fact).at("/value").asDouble();
+  }
+
   private JsonNode experiment(String name) {
     for (JsonNode experiment : report.at("/experiments")) {
       if (experiment.at("/experiment").asText().equals(name)) {
