--- a/src/main/java/loadbalancer/scale/config/AgentSettings.java
+++ b/src/main/java/loadbalancer/scale/config/AgentSettings.java
@@ -30,15 +30,15 @@
 
   /** Checks the ranges of the settings. */
   public AgentSettings {
-    FanOutChecks.aboveZero("detection-ms", detectionMs);
-    FanOutChecks.aboveZero("connect-timeout-ms", connectTimeoutMs);
-    FanOutChecks.aboveZero("backoff-base-ms", backoffBaseMs);
-    FanOutChecks.inRange("backoff-max-ms", backoffMaxMs, backoffBaseMs, Double.MAX_VALUE);
-    FanOutChecks.aboveZero("receive-megabits-per-second", receiveMegabitsPerSecond);
-    FanOutChecks.notNegative("local-delay-ms", localDelayMs);
-    FanOutChecks.notNegative("apply-message-microseconds", applyMessageMicroseconds);
-    FanOutChecks.notNegative("apply-entry-microseconds", applyEntryMicroseconds);
-    FanOutChecks.aboveZero("heartbeat-seconds", heartbeatSeconds);
-    FanOutChecks.notNegative("heartbeat-bytes", heartbeatBytes);
+    FieldCheck.aboveZero("detection-ms", detectionMs);
+    FieldCheck.aboveZero("connect-timeout-ms", connectTimeoutMs);
+    FieldCheck.aboveZero("backoff-base-ms", backoffBaseMs);
+    FieldCheck.inRange("backoff-max-ms", backoffBaseMs, Double.MAX_VALUE, backoffMaxMs);
+    FieldCheck.aboveZero("receive-megabits-per-second", receiveMegabitsPerSecond);
+    FieldCheck.atLeast("local-delay-ms", 0, localDelayMs);
+    FieldCheck.atLeast("apply-message-microseconds", 0, applyMessageMicroseconds);
+    FieldCheck.atLeast("apply-entry-microseconds", 0, applyEntryMicroseconds);
+    FieldCheck.aboveZero("heartbeat-seconds", heartbeatSeconds);
+    FieldCheck.atLeast("heartbeat-bytes", 0, heartbeatBytes);
   }
 }
--- a/src/main/java/loadbalancer/scale/config/ArrivalSettings.java
+++ b/src/main/java/loadbalancer/scale/config/ArrivalSettings.java
@@ -29,10 +29,11 @@
 
   /** Checks the fields. */
   public ArrivalSettings {
-    FieldRange.check(
-        "requests-per-second", requestsPerSecond, MIN_REQUESTS_PER_SECOND, MAX_REQUESTS_PER_SECOND);
-    FieldRange.check("burst-multiple", burstMultiple, 1, MAX_BURST_MULTIPLE);
-    FieldRange.check("burst-ms", burstMs, 0, MAX_BURST_MS);
-    FieldRange.check("burst-interval-seconds", burstIntervalSeconds, 0, MAX_BURST_INTERVAL_SECONDS);
+    FieldCheck.inRange(
+        "requests-per-second", MIN_REQUESTS_PER_SECOND, MAX_REQUESTS_PER_SECOND, requestsPerSecond);
+    FieldCheck.inRange("burst-multiple", 1, MAX_BURST_MULTIPLE, burstMultiple);
+    FieldCheck.inRange("burst-ms", 0, MAX_BURST_MS, burstMs);
+    FieldCheck.inRange(
+        "burst-interval-seconds", 0, MAX_BURST_INTERVAL_SECONDS, burstIntervalSeconds);
   }
 }
--- a/src/main/java/loadbalancer/scale/config/BalancerSettings.java
+++ b/src/main/java/loadbalancer/scale/config/BalancerSettings.java
@@ -24,10 +24,10 @@
 
   /** Checks the fields. */
   public BalancerSettings {
-    FieldRange.check("zones", zones, 1, MAX_ZONES);
-    FieldRange.check("cross-zone-cost", crossZoneCost, 0, MAX_COST);
-    FieldRange.check("latency-objective-ms", latencyObjectiveMs, 1, MAX_DURATION_MS);
-    FieldRange.check("deadline-ms", deadlineMs, latencyObjectiveMs, MAX_DURATION_MS);
-    FieldRange.check("max-attempts", maxAttempts, 1, MAX_ATTEMPTS);
+    FieldCheck.inRange("zones", 1, MAX_ZONES, zones);
+    FieldCheck.inRange("cross-zone-cost", 0, MAX_COST, crossZoneCost);
+    FieldCheck.inRange("latency-objective-ms", 1, MAX_DURATION_MS, latencyObjectiveMs);
+    FieldCheck.inRange("deadline-ms", latencyObjectiveMs, MAX_DURATION_MS, deadlineMs);
+    FieldCheck.inRange("max-attempts", 1, MAX_ATTEMPTS, maxAttempts);
   }
 }
--- a/src/main/java/loadbalancer/scale/config/ChangeSettings.java
+++ b/src/main/java/loadbalancer/scale/config/ChangeSettings.java
@@ -45,25 +45,25 @@
 
   /** Checks the ranges of the settings. */
   public ChangeSettings {
-    FanOutChecks.aboveZero("balancers", balancers);
-    FanOutChecks.inRange("sampled-balancers", sampledBalancers, 0, balancers);
-    FanOutChecks.aboveZero("list-entries", listEntries);
-    FanOutChecks.inRange("sampled-list-entries", sampledListEntries, 0, listEntries);
-    FanOutChecks.aboveZero("regions", regions);
-    FanOutChecks.aboveZero("zones-per-region", zonesPerRegion);
-    FanOutChecks.aboveZero("duration-seconds", durationSeconds);
-    FanOutChecks.aboveZero("drain-seconds", drainSeconds);
-    FanOutChecks.notNegative("changes-per-day", changesPerDay);
-    FanOutChecks.notNegative("restarts-per-day", restartsPerDay);
-    FanOutChecks.aboveZero("peak-factor", peakFactor);
-    FanOutChecks.present("network", network);
-    FanOutChecks.present("control-plane", controlPlane);
-    FanOutChecks.present("agent", agent);
-    FanOutChecks.present("series", series);
+    FieldCheck.aboveZero("balancers", balancers);
+    FieldCheck.inRange("sampled-balancers", 0, balancers, sampledBalancers);
+    FieldCheck.aboveZero("list-entries", listEntries);
+    FieldCheck.inRange("sampled-list-entries", 0, listEntries, sampledListEntries);
+    FieldCheck.aboveZero("regions", regions);
+    FieldCheck.aboveZero("zones-per-region", zonesPerRegion);
+    FieldCheck.aboveZero("duration-seconds", durationSeconds);
+    FieldCheck.aboveZero("drain-seconds", drainSeconds);
+    FieldCheck.atLeast("changes-per-day", 0, changesPerDay);
+    FieldCheck.atLeast("restarts-per-day", 0, restartsPerDay);
+    FieldCheck.aboveZero("peak-factor", peakFactor);
+    FieldCheck.present("network", network);
+    FieldCheck.present("control-plane", controlPlane);
+    FieldCheck.present("agent", agent);
+    FieldCheck.present("series", series);
     events = events == null ? List.of() : List.copyOf(events);
     for (ScheduledEvent event : events) {
       checkTarget(event, controlPlane.machines(), regions, zonesPerRegion);
-      FanOutChecks.inRange("events.entries", event.entries(), 0, listEntries);
+      FieldCheck.inRange("events.entries", 0, listEntries, event.entries());
     }
   }
 
@@ -75,7 +75,7 @@
           case ZONE_RESTART -> regions * zones;
           default -> 1;
         };
-    FanOutChecks.inRange("events.target", event.target(), 0, targets - 1);
+    FieldCheck.inRange("events.target", 0, targets - 1, event.target());
   }
 
   /** The rate of changed entries in the run. */
--- a/src/main/java/loadbalancer/scale/config/ColdSettings.java
+++ b/src/main/java/loadbalancer/scale/config/ColdSettings.java
@@ -38,17 +38,17 @@
   /** Checks the fields. */
   public ColdSettings {
     balancerCounts = List.copyOf(balancerCounts);
-    FieldRange.check("balancer-counts: entries", balancerCounts.size(), 1, MAX_BALANCERS);
+    FieldCheck.inRange("balancer-counts: entries", 1, MAX_BALANCERS, balancerCounts.size());
     int minimum = balancers.zones();
     for (int count : balancerCounts) {
-      FieldRange.check("balancer-counts", count, minimum, MAX_BALANCERS);
+      FieldCheck.inRange("balancer-counts", minimum, MAX_BALANCERS, count);
       minimum = count + 1;
     }
-    FieldRange.check("restarts", restarts, 1, MAX_RESTARTS);
-    FieldRange.check("threads", threads, 1, MAX_THREADS);
-    FieldRange.check("settling-seconds", settlingSeconds, 1, MAX_SETTLING_SECONDS);
-    FieldRange.check("notification-spread-ms", notificationSpreadMs, 0, MAX_DURATION_MS);
-    FieldRange.check("drain-ms", drainMs, notificationSpreadMs, MAX_DURATION_MS);
-    FieldRange.check("down-ms", downMs, notificationSpreadMs, MAX_DURATION_MS);
+    FieldCheck.inRange("restarts", 1, MAX_RESTARTS, restarts);
+    FieldCheck.inRange("threads", 1, MAX_THREADS, threads);
+    FieldCheck.inRange("settling-seconds", 1, MAX_SETTLING_SECONDS, settlingSeconds);
+    FieldCheck.inRange("notification-spread-ms", 0, MAX_DURATION_MS, notificationSpreadMs);
+    FieldCheck.inRange("drain-ms", notificationSpreadMs, MAX_DURATION_MS, drainMs);
+    FieldCheck.inRange("down-ms", notificationSpreadMs, MAX_DURATION_MS, downMs);
   }
 }
--- a/src/main/java/loadbalancer/scale/config/ControlPlaneSettings.java
+++ b/src/main/java/loadbalancer/scale/config/ControlPlaneSettings.java
@@ -32,15 +32,15 @@
 
   /** Checks the ranges of the settings. */
   public ControlPlaneSettings {
-    FanOutChecks.aboveZero("machines", machines);
-    FanOutChecks.present("replication", replication);
-    FanOutChecks.notNegative("commit-ms", commitMs);
-    FanOutChecks.aboveZero("takeover-ms", takeoverMs);
-    FanOutChecks.notNegative("batch-ms", batchMs);
-    FanOutChecks.aboveZero("history-changes", historyChanges);
-    FanOutChecks.notNegative("send-message-microseconds", sendMessageMicroseconds);
-    FanOutChecks.notNegative("send-byte-nanoseconds", sendByteNanoseconds);
-    FanOutChecks.notNegative("receive-message-microseconds", receiveMessageMicroseconds);
-    FanOutChecks.aboveZero("link-gigabits-per-second", linkGigabitsPerSecond);
+    FieldCheck.aboveZero("machines", machines);
+    FieldCheck.present("replication", replication);
+    FieldCheck.atLeast("commit-ms", 0, commitMs);
+    FieldCheck.aboveZero("takeover-ms", takeoverMs);
+    FieldCheck.atLeast("batch-ms", 0, batchMs);
+    FieldCheck.aboveZero("history-changes", historyChanges);
+    FieldCheck.atLeast("send-message-microseconds", 0, sendMessageMicroseconds);
+    FieldCheck.atLeast("send-byte-nanoseconds", 0, sendByteNanoseconds);
+    FieldCheck.atLeast("receive-message-microseconds", 0, receiveMessageMicroseconds);
+    FieldCheck.aboveZero("link-gigabits-per-second", linkGigabitsPerSecond);
   }
 }
--- a/src/main/java/loadbalancer/scale/config/FieldCheck.java
+++ b/src/main/java/loadbalancer/scale/config/FieldCheck.java
@@ -22,6 +22,13 @@
     }
   }
 
+  /** Throws an exception unless the value is within an inclusive range. */
+  static void inRange(String field, double minimum, double maximum, double value) {
+    if (!(value >= minimum && value <= maximum)) {
+      throw invalid(field, number(minimum) + " to " + number(maximum), number(value));
+    }
+  }
+
   /** Throws an exception if the field is missing. */
   static void present(String field, Object value) {
     if (value == null) {
--- a/src/main/java/loadbalancer/scale/config/NetworkSettings.java
+++ b/src/main/java/loadbalancer/scale/config/NetworkSettings.java
@@ -27,13 +27,13 @@
 
   /** Checks the ranges of the settings. */
   public NetworkSettings {
-    FanOutChecks.aboveZero("zone-delay-ms", zoneDelayMs);
-    FanOutChecks.aboveZero("region-delay-ms", regionDelayMs);
-    FanOutChecks.aboveZero("inter-region-delay-ms", interRegionDelayMs);
-    FanOutChecks.notNegative("delay-sigma", delaySigma);
-    FanOutChecks.inRange("packet-loss-fraction", packetLossFraction, 0, MAX_LOSS_FRACTION);
-    FanOutChecks.aboveZero("retransmission-timeout-ms", retransmissionTimeoutMs);
-    FanOutChecks.aboveZero("packet-payload-bytes", packetPayloadBytes);
-    FanOutChecks.notNegative("packet-overhead-bytes", packetOverheadBytes);
+    FieldCheck.aboveZero("zone-delay-ms", zoneDelayMs);
+    FieldCheck.aboveZero("region-delay-ms", regionDelayMs);
+    FieldCheck.aboveZero("inter-region-delay-ms", interRegionDelayMs);
+    FieldCheck.atLeast("delay-sigma", 0, delaySigma);
+    FieldCheck.inRange("packet-loss-fraction", 0, MAX_LOSS_FRACTION, packetLossFraction);
+    FieldCheck.aboveZero("retransmission-timeout-ms", retransmissionTimeoutMs);
+    FieldCheck.aboveZero("packet-payload-bytes", packetPayloadBytes);
+    FieldCheck.atLeast("packet-overhead-bytes", 0, packetOverheadBytes);
   }
 }
--- a/src/main/java/loadbalancer/scale/config/PopularitySettings.java
+++ b/src/main/java/loadbalancer/scale/config/PopularitySettings.java
@@ -14,7 +14,7 @@
 
   /** Checks the fields. */
   public PopularitySettings {
-    FieldRange.check("count", count, 1, MAX_COUNT);
-    FieldRange.check("exponent", exponent, MIN_EXPONENT, MAX_EXPONENT);
+    FieldCheck.inRange("count", 1, MAX_COUNT, count);
+    FieldCheck.inRange("exponent", MIN_EXPONENT, MAX_EXPONENT, exponent);
   }
 }
--- a/src/main/java/loadbalancer/scale/config/ScheduledEvent.java
+++ b/src/main/java/loadbalancer/scale/config/ScheduledEvent.java
@@ -21,11 +21,11 @@
 
   /** Checks the ranges of the settings. */
   public ScheduledEvent {
-    FanOutChecks.present("kind", kind);
-    FanOutChecks.notNegative("at-seconds", atSeconds);
-    FanOutChecks.notNegative("duration-seconds", durationSeconds);
-    FanOutChecks.notNegative("effect-seconds", effectSeconds);
-    FanOutChecks.notNegative("target", target);
-    FanOutChecks.notNegative("entries", entries);
+    FieldCheck.present("kind", kind);
+    FieldCheck.atLeast("at-seconds", 0, atSeconds);
+    FieldCheck.atLeast("duration-seconds", 0, durationSeconds);
+    FieldCheck.atLeast("effect-seconds", 0, effectSeconds);
+    FieldCheck.atLeast("target", 0, target);
+    FieldCheck.atLeast("entries", 0, entries);
   }
 }
--- a/src/main/java/loadbalancer/scale/config/SeriesSettings.java
+++ b/src/main/java/loadbalancer/scale/config/SeriesSettings.java
@@ -26,11 +26,11 @@
     balancers = balancers == null ? List.of() : List.copyOf(balancers);
     changesPerSecond = changesPerSecond == null ? List.of() : List.copyOf(changesPerSecond);
     listEntries = listEntries == null ? List.of() : List.copyOf(listEntries);
-    listEntries.forEach(count -> FanOutChecks.aboveZero("list-entries", count));
-    balancers.forEach(count -> FanOutChecks.aboveZero("balancers", count));
-    changesPerSecond.forEach(rate -> FanOutChecks.aboveZero("changes-per-second", rate));
-    FanOutChecks.aboveZero("rate-balancers", rateBalancers);
-    FanOutChecks.aboveZero("duration-seconds", durationSeconds);
-    FanOutChecks.notNegative("burst-entries", burstEntries);
+    listEntries.forEach(count -> FieldCheck.aboveZero("list-entries", count));
+    balancers.forEach(count -> FieldCheck.aboveZero("balancers", count));
+    changesPerSecond.forEach(rate -> FieldCheck.aboveZero("changes-per-second", rate));
+    FieldCheck.aboveZero("rate-balancers", rateBalancers);
+    FieldCheck.aboveZero("duration-seconds", durationSeconds);
+    FieldCheck.atLeast("burst-entries", 0, burstEntries);
   }
 }
--- a/src/main/java/loadbalancer/scale/config/UpstreamSettings.java
+++ b/src/main/java/loadbalancer/scale/config/UpstreamSettings.java
@@ -44,18 +44,18 @@
 
   /** Checks the fields. */
   public UpstreamSettings {
-    FieldRange.check("count", count, 1, MAX_COUNT);
-    FieldRange.check("concurrency", concurrency, 1, MAX_CONCURRENCY);
-    FieldRange.check("queue-limit", queueLimit, 0, Integer.MAX_VALUE);
-    FieldRange.check("mean-service-ms", meanServiceMs, MIN_SERVICE_MS, MAX_SERVICE_MS);
-    FieldRange.check("service-time-sigma", serviceTimeSigma, 0, MAX_SIGMA);
-    FieldRange.check("failure-fraction", failureFraction, 0, 1);
-    FieldRange.check(
-        "initial-capacity-fraction", initialCapacityFraction, MIN_CAPACITY_FRACTION, 1);
-    FieldRange.check("warm-up-seconds", warmUpSeconds, MIN_WARM_UP_SECONDS, MAX_WARM_UP_SECONDS);
-    FieldRange.check(
-        "overload-multiple", overloadMultiple, MIN_OVERLOAD_MULTIPLE, MAX_OVERLOAD_MULTIPLE);
-    FieldRange.check("overload-window-ms", overloadWindowMs, MIN_WINDOW_MS, MAX_WINDOW_MS);
+    FieldCheck.inRange("count", 1, MAX_COUNT, count);
+    FieldCheck.inRange("concurrency", 1, MAX_CONCURRENCY, concurrency);
+    FieldCheck.inRange("queue-limit", 0, Integer.MAX_VALUE, queueLimit);
+    FieldCheck.inRange("mean-service-ms", MIN_SERVICE_MS, MAX_SERVICE_MS, meanServiceMs);
+    FieldCheck.inRange("service-time-sigma", 0, MAX_SIGMA, serviceTimeSigma);
+    FieldCheck.inRange("failure-fraction", 0, 1, failureFraction);
+    FieldCheck.inRange(
+        "initial-capacity-fraction", MIN_CAPACITY_FRACTION, 1, initialCapacityFraction);
+    FieldCheck.inRange("warm-up-seconds", MIN_WARM_UP_SECONDS, MAX_WARM_UP_SECONDS, warmUpSeconds);
+    FieldCheck.inRange(
+        "overload-multiple", MIN_OVERLOAD_MULTIPLE, MAX_OVERLOAD_MULTIPLE, overloadMultiple);
+    FieldCheck.inRange("overload-window-ms", MIN_WINDOW_MS, MAX_WINDOW_MS, overloadWindowMs);
   }
 
   /** The rate at which a warm upstream can serve requests. */
