--- a/src/main/java/loadbalancer/scale/experiment/ApplyCalibration.java
+++ b/src/main/java/loadbalancer/scale/experiment/ApplyCalibration.java
@@ -2,6 +2,7 @@
 
 import java.util.Arrays;
 import loadbalancer.scale.model.ApplyProbe;
+import loadbalancer.scale.model.Durations;
 
 /**
  * Measures how long a balancer takes to parse and apply messages, on the program's own code with a
@@ -17,8 +18,6 @@
 
   private static final int REPETITIONS = 5;
   private static final int BURST_ENTRIES = 2_400;
-  private static final double NANOS_PER_MICRO = 1e3;
-  private static final double NANOS_PER_MILLI = 1e6;
 
   /** Measures with a list of this size; takes the median of several repetitions. */
   static ApplyCalibration measure(int listEntries, long seed) {
@@ -35,9 +34,9 @@
     double singleNanos = median(single);
     double perEntryNanos = (median(burst) - singleNanos) / Math.max(1, burstEntries - 1);
     return new ApplyCalibration(
-        singleNanos / NANOS_PER_MICRO,
-        Math.max(0, perEntryNanos) / NANOS_PER_MICRO,
-        median(full) / NANOS_PER_MILLI,
+        singleNanos / Durations.NANOS_PER_MICRO,
+        Math.max(0, perEntryNanos) / Durations.NANOS_PER_MICRO,
+        median(full) / Durations.NANOS_PER_MILLI,
         probe.fullListBytes());
   }
 
--- a/src/main/java/loadbalancer/scale/experiment/ChangeExperiment.java
+++ b/src/main/java/loadbalancer/scale/experiment/ChangeExperiment.java
@@ -7,6 +7,7 @@
 import loadbalancer.scale.config.EventKind;
 import loadbalancer.scale.config.ScheduledEvent;
 import loadbalancer.scale.config.SeriesSettings;
+import loadbalancer.scale.model.Durations;
 import loadbalancer.scale.model.FanOutModel;
 import loadbalancer.scale.model.FanOutResult;
 import loadbalancer.scale.model.FanOutScenario;
@@ -26,7 +27,6 @@
   public static final String NAME = "change";
 
   private static final double MAIN_RUN_PROGRESS = 0.6;
-  private static final double NANOS_PER_MILLI = 1e6;
 
   private static final String BALANCERS = "balancers";
 
@@ -85,9 +85,9 @@
     List<Point> coreShare = new ArrayList<>();
     for (int balancers : settings.series().balancers()) {
       FanOutResult result = runWithBurst(balancers);
-      double p99Millis = result.allDelays().getValueAtPercentile(99) / NANOS_PER_MILLI;
+      double p99Millis = result.allDelays().getValueAtPercentile(99) / Durations.NANOS_PER_MILLI;
       p99.add(new Point(balancers, p99Millis));
-      worst.add(new Point(balancers, result.allDelays().getMaxValue() / NANOS_PER_MILLI));
+      worst.add(new Point(balancers, result.allDelays().getMaxValue() / Durations.NANOS_PER_MILLI));
       coreShare.add(new Point(balancers, 100 * result.largestCoreShare()));
     }
     return List.of(
--- a/src/main/java/loadbalancer/scale/experiment/FanOutFacts.java
+++ b/src/main/java/loadbalancer/scale/experiment/FanOutFacts.java
@@ -7,6 +7,7 @@
 import loadbalancer.scale.config.ChangeSettings;
 import loadbalancer.scale.model.CatchUp;
 import loadbalancer.scale.model.ControlMachineLoad;
+import loadbalancer.scale.model.Durations;
 import loadbalancer.scale.model.FanOutResult;
 import loadbalancer.scale.report.Basis;
 import loadbalancer.scale.report.Fact;
@@ -18,8 +19,6 @@
   /** The time in which a change has to be in force at all balancers. */
   private static final long TARGET_NANOS = 4_000_000_000L;
 
-  private static final double NANOS_PER_MILLI = 1e6;
-  private static final double NANOS_PER_SECOND = 1e9;
   private static final double BYTES_PER_KILOBYTE = 1e3;
   private static final double MICROS_PER_SECOND = 1e6;
 
@@ -70,9 +69,11 @@
   }
 
   private void addDelays(String kind, Histogram delays) {
-    addSimulated(kind + "-delay-p50", delays.getValueAtPercentile(50) / NANOS_PER_MILLI, "ms");
-    addSimulated(kind + "-delay-p99", delays.getValueAtPercentile(99) / NANOS_PER_MILLI, "ms");
-    addSimulated(kind + "-delay-worst", delays.getMaxValue() / NANOS_PER_MILLI, "ms");
+    addSimulated(
+        kind + "-delay-p50", delays.getValueAtPercentile(50) / Durations.NANOS_PER_MILLI, "ms");
+    addSimulated(
+        kind + "-delay-p99", delays.getValueAtPercentile(99) / Durations.NANOS_PER_MILLI, "ms");
+    addSimulated(kind + "-delay-worst", delays.getMaxValue() / Durations.NANOS_PER_MILLI, "ms");
     double inTime = delays.getPercentileAtOrBelowValue(TARGET_NANOS);
     addSimulated(kind + "-within-4-s", inTime, "percent");
   }
@@ -94,7 +95,7 @@
     addLargest("machine-messages-most", ControlMachineLoad::messages, "messages");
     addLargest("machine-bytes-most", ControlMachineLoad::bytes, "bytes");
     addLargest("machine-full-lists-most", ControlMachineLoad::fullLists, "messages");
-    double totalNanos = result.seconds() * NANOS_PER_SECOND;
+    double totalNanos = result.seconds() * Durations.NANOS_PER_SECOND;
     addLargest(
         "machine-core-mean-most", load -> 100 * load.coreBusyNanos() / totalNanos, "percent");
     addLargest("machine-core-worst-second", load -> 100 * load.worstCoreShare(), "percent");
@@ -113,7 +114,7 @@
     for (int i = 0; i < result.catchUps().size(); i++) {
       CatchUp catchUp = result.catchUps().get(i);
       String name = catchUp.kind().text() + "-catch-up-" + i;
-      addSimulated(name, catchUp.nanos() / NANOS_PER_MILLI, "ms");
+      addSimulated(name, catchUp.nanos() / Durations.NANOS_PER_MILLI, "ms");
       addSimulated(name + "-balancers", catchUp.balancers(), "balancers");
       addSimulated(name + "-missing", catchUp.missing(), "balancers");
     }
--- a/src/main/java/loadbalancer/scale/experiment/OfferedCapacity.java
+++ b/src/main/java/loadbalancer/scale/experiment/OfferedCapacity.java
@@ -44,6 +44,6 @@
   }
 
   private double stepSeconds() {
-    return warmUp.durationNanos() / Durations.NANOS_PER_SECOND / STEPS;
+    return (double) warmUp.durationNanos() / Durations.NANOS_PER_SECOND / STEPS;
   }
 }
--- a/src/main/java/loadbalancer/scale/model/BalancerTraffic.java
+++ b/src/main/java/loadbalancer/scale/model/BalancerTraffic.java
@@ -21,7 +21,7 @@
 
   /** Counts the bytes of a message in the second of its arrival. */
   void add(int balancer, long bytes, long nowNanos) {
-    long second = nowNanos / TimeUnits.NANOS_PER_SECOND;
+    long second = nowNanos / Durations.NANOS_PER_SECOND;
     if (second != currentSecond[balancer]) {
       currentSecond[balancer] = second;
       currentBytes[balancer] = 0;
--- a/src/main/java/loadbalancer/scale/model/ChangeGenerator.java
+++ b/src/main/java/loadbalancer/scale/model/ChangeGenerator.java
@@ -11,7 +11,7 @@
 final class ChangeGenerator {
 
   /** The time that an upstream takes to restart. */
-  private static final long RESTART_NANOS = 20 * TimeUnits.NANOS_PER_SECOND;
+  private static final long RESTART_NANOS = 20 * Durations.NANOS_PER_SECOND;
 
   private static final double MIN_WEIGHT = 0.5;
   private static final int WEIGHT_STEPS = 100;
@@ -38,7 +38,7 @@
 
   /** Starts changes at random times, at a mean rate of changed entries. */
   void start(double changesPerSecond, double durationSeconds) {
-    endNanos = TimeUnits.fromSeconds(durationSeconds);
+    endNanos = Durations.secondsToNanos(durationSeconds);
     if (changesPerSecond > 0) {
       // A restart changes its entry twice, but is one event.
       double restartPart = context.settings().restartFraction() / 2;
@@ -52,7 +52,7 @@
     context
         .simulation()
         .schedule(
-            TimeUnits.fromSeconds(waitSeconds),
+            Durations.secondsToNanos(waitSeconds),
             () -> {
               if (context.simulation().nowNanos() < endNanos) {
                 changeRandomEntry(random.nextDouble() < restartProbability);
@@ -83,7 +83,7 @@
 
   /** Starts a burst: entries of one zone after the other leave the list, evenly over a time. */
   void startBurst(int entries, double durationSeconds) {
-    long spacingNanos = TimeUnits.fromSeconds(durationSeconds / Math.max(1, entries));
+    long spacingNanos = Durations.secondsToNanos(durationSeconds / Math.max(1, entries));
     int started = 0;
     for (int zone = 0; zone < EndpointEntry.ZONES && started < entries; zone++) {
       for (int i = zone; i < statuses.length && started < entries; i += EndpointEntry.ZONES) {
--- a/src/main/java/loadbalancer/scale/model/ControlMachine.java
+++ b/src/main/java/loadbalancer/scale/model/ControlMachine.java
@@ -112,7 +112,7 @@
     long receivedNanos =
         core.use(
             context.simulation().nowNanos(),
-            TimeUnits.fromMicros(settings.receiveMessageMicroseconds()));
+            Durations.microsToNanos(settings.receiveMessageMicroseconds()));
     advanceTo(message.version(), receivedNanos);
   }
 
@@ -136,7 +136,7 @@
 
   /** Only the leader collects changes; the others pass on what they receive. */
   private long batchNanos() {
-    return plane.isLeader(this) ? TimeUnits.fromMillis(settings.batchMs()) : 0;
+    return plane.isLeader(this) ? Durations.millisToNanos(settings.batchMs()) : 0;
   }
 
   /** Accepts a watch and sends it the changes that it lacks. */
@@ -221,7 +221,7 @@
 
   private long useCore(long wireBytes) {
     long workNanos =
-        TimeUnits.fromMicros(settings.sendMessageMicroseconds())
+        Durations.microsToNanos(settings.sendMessageMicroseconds())
             + Math.round(settings.sendByteNanoseconds() * wireBytes);
     return core.use(context.simulation().nowNanos(), workNanos);
   }
--- a/src/main/java/loadbalancer/scale/model/ControlPlane.java
+++ b/src/main/java/loadbalancer/scale/model/ControlPlane.java
@@ -50,7 +50,7 @@
   /** Gives a change to discovery. */
   void enter(EndpointEntry entry, EventKind kind) {
     PendingChange change = new PendingChange(entry, context.simulation().nowNanos(), kind);
-    long commitNanos = TimeUnits.fromMillis(context.settings().controlPlane().commitMs());
+    long commitNanos = Durations.millisToNanos(context.settings().controlPlane().commitMs());
     context.simulation().schedule(commitNanos, () -> commit(change));
   }
 
@@ -131,7 +131,7 @@
   }
 
   private long detectionNanos() {
-    return TimeUnits.fromMillis(context.settings().agent().detectionMs());
+    return Durations.millisToNanos(context.settings().agent().detectionMs());
   }
 
   private void checkLeader() {
@@ -154,7 +154,7 @@
   }
 
   private void scheduleElection() {
-    long takeoverNanos = TimeUnits.fromMillis(context.settings().controlPlane().takeoverMs());
+    long takeoverNanos = Durations.millisToNanos(context.settings().controlPlane().takeoverMs());
     context.simulation().schedule(takeoverNanos, this::elect);
   }
 
--- a/src/main/java/loadbalancer/scale/model/EventRunner.java
+++ b/src/main/java/loadbalancer/scale/model/EventRunner.java
@@ -29,8 +29,8 @@
 
   /** Schedules the start and the end of an event. */
   void schedule(ScheduledEvent event) {
-    long startNanos = TimeUnits.fromSeconds(event.atSeconds());
-    long endNanos = startNanos + TimeUnits.fromSeconds(event.durationSeconds());
+    long startNanos = Durations.secondsToNanos(event.atSeconds());
+    long endNanos = startNanos + Durations.secondsToNanos(event.durationSeconds());
     context.simulation().schedule(startNanos, () -> start(event));
     context.simulation().schedule(endNanos, () -> end(event));
   }
--- a/src/main/java/loadbalancer/scale/model/EventWindows.java
+++ b/src/main/java/loadbalancer/scale/model/EventWindows.java
@@ -19,7 +19,7 @@
 
   /** The kind of the first event that covers this time. */
   EventKind kindAt(long nowNanos) {
-    double nowSeconds = (double) nowNanos / TimeUnits.NANOS_PER_SECOND;
+    double nowSeconds = (double) nowNanos / Durations.NANOS_PER_SECOND;
     return events.stream()
         .filter(event -> covers(event, nowSeconds))
         .map(ScheduledEvent::kind)
--- a/src/main/java/loadbalancer/scale/model/FanOutModel.java
+++ b/src/main/java/loadbalancer/scale/model/FanOutModel.java
@@ -73,7 +73,7 @@
     generator.start(scenario.changesPerSecond(), scenario.durationSeconds());
     double seconds = scenario.durationSeconds() + scenario.settings().drainSeconds();
     for (long second = 1; second <= seconds; second++) {
-      context.simulation().run(second * TimeUnits.NANOS_PER_SECOND);
+      context.simulation().run(second * Durations.NANOS_PER_SECOND);
       progress.accept(second / seconds);
     }
     return result(seconds);
--- a/src/main/java/loadbalancer/scale/model/FanOutResult.java
+++ b/src/main/java/loadbalancer/scale/model/FanOutResult.java
@@ -40,7 +40,7 @@
 
   /** The largest mean busy share of a control machine's core. */
   public double largestCoreShare() {
-    double totalNanos = seconds * TimeUnits.NANOS_PER_SECOND;
+    double totalNanos = seconds * Durations.NANOS_PER_SECOND;
     return machines.stream()
         .mapToDouble(machine -> machine.coreBusyNanos() / totalNanos)
         .max()
--- a/src/main/java/loadbalancer/scale/model/NetworkModel.java
+++ b/src/main/java/loadbalancer/scale/model/NetworkModel.java
@@ -47,7 +47,7 @@
   /** The random one-way delay of a message, including the retransmission of lost packets. */
   public long delayNanos(Location from, Location to, long payloadBytes) {
     double spread = Math.exp(settings.delaySigma() * random.nextGaussian());
-    return TimeUnits.fromMillis(medianMillis(from, to) * spread)
+    return Durations.millisToNanos(medianMillis(from, to) * spread)
         + retransmissionNanos(payloadBytes);
   }
 
@@ -74,7 +74,7 @@
     if (random.nextDouble() >= lossOfAnyPacket) {
       return 0;
     }
-    long timeoutNanos = TimeUnits.fromMillis(settings.retransmissionTimeoutMs());
+    long timeoutNanos = Durations.millisToNanos(settings.retransmissionTimeoutMs());
     long waitNanos = timeoutNanos;
     int attempts = 1;
     while (attempts < MAX_RETRANSMISSIONS && random.nextDouble() < loss) {
--- a/src/main/java/loadbalancer/scale/model/SampledBalancer.java
+++ b/src/main/java/loadbalancer/scale/model/SampledBalancer.java
@@ -26,7 +26,7 @@
  */
 public final class SampledBalancer {
 
-  private static final long TIMEOUT_NANOS = 5 * TimeUnits.NANOS_PER_SECOND;
+  private static final long TIMEOUT_NANOS = 5 * Durations.NANOS_PER_SECOND;
   private static final int MAX_CONNECTIONS = 1_024;
   private static final String POLICY_SETTINGS =
       """
--- a/src/main/java/loadbalancer/scale/model/SerialResource.java
+++ b/src/main/java/loadbalancer/scale/model/SerialResource.java
@@ -37,14 +37,14 @@
   /** The largest busy share of a second. */
   double worstSecondShare() {
     long worstNanos = Arrays.stream(busyNanosBySecond).max().orElse(0);
-    return (double) worstNanos / TimeUnits.NANOS_PER_SECOND;
+    return (double) worstNanos / Durations.NANOS_PER_SECOND;
   }
 
   private void addBySecond(long startNanos, long endNanos) {
     long fromNanos = startNanos;
     while (fromNanos < endNanos) {
-      int second = (int) (fromNanos / TimeUnits.NANOS_PER_SECOND);
-      long toNanos = Math.min(endNanos, (second + 1) * TimeUnits.NANOS_PER_SECOND);
+      int second = (int) (fromNanos / Durations.NANOS_PER_SECOND);
+      long toNanos = Math.min(endNanos, (second + 1) * Durations.NANOS_PER_SECOND);
       if (second >= busyNanosBySecond.length) {
         busyNanosBySecond = Arrays.copyOf(busyNanosBySecond, 2 * second);
       }
--- a/src/main/java/loadbalancer/scale/model/WatchClient.java
+++ b/src/main/java/loadbalancer/scale/model/WatchClient.java
@@ -71,7 +71,7 @@
         Math.min(
             settings.backoffMaxMs(),
             settings.backoffBaseMs() * (1L << Math.min(attempt, MAX_DOUBLINGS)));
-    long backoffNanos = TimeUnits.fromMillis(longestMillis * random.nextDouble());
+    long backoffNanos = Durations.millisToNanos(longestMillis * random.nextDouble());
     long scheduledGeneration = generation;
     simulation.schedule(
         afterNanos + backoffNanos,
@@ -86,7 +86,7 @@
     ControlMachine server = watcher.chooseServer(attempt);
     attempt++;
     if (!isAvailable(server)) {
-      scheduleAttempt(TimeUnits.fromMillis(settings.connectTimeoutMs()));
+      scheduleAttempt(Durations.millisToNanos(settings.connectTimeoutMs()));
       return;
     }
     // A connection takes one round trip and a half: SYN, SYN-ACK, and the request behind the ACK.
@@ -113,7 +113,7 @@
 
   private void open(ControlMachine server) {
     if (!isAvailable(server)) {
-      scheduleAttempt(TimeUnits.fromMillis(settings.connectTimeoutMs()));
+      scheduleAttempt(Durations.millisToNanos(settings.connectTimeoutMs()));
       return;
     }
     attempt = 0;
--- a/src/main/java/loadbalancer/scale/model/WatchingBalancer.java
+++ b/src/main/java/loadbalancer/scale/model/WatchingBalancer.java
@@ -35,8 +35,8 @@
         settings.applyMessageMicroseconds()
             + settings.applyEntryMicroseconds() * message.list().endpoints().size();
     long startNanos =
-        Math.max(busyUntilNanos, nowNanos + TimeUnits.fromMillis(settings.localDelayMs()));
-    busyUntilNanos = startNanos + TimeUnits.fromMicros(applyMicros);
+        Math.max(busyUntilNanos, nowNanos + Durations.millisToNanos(settings.localDelayMs()));
+    busyUntilNanos = startNanos + Durations.microsToNanos(applyMicros);
     sample.ifPresent(balancer -> balancer.apply(message, busyUntilNanos));
     long wireBytes = context.network().wireBytes(message.payload().length());
     recorder.received(index, wireBytes, nowNanos);
--- a/src/test/java/loadbalancer/scale/model/ControlMachineTest.java
+++ b/src/test/java/loadbalancer/scale/model/ControlMachineTest.java
@@ -58,7 +58,7 @@
   }
 
   private void runUntil(long second) {
-    context.simulation().run(second * TimeUnits.NANOS_PER_SECOND);
+    context.simulation().run(second * Durations.NANOS_PER_SECOND);
   }
 
   @Test
--- a/src/test/java/loadbalancer/scale/model/FanOutModelTest.java
+++ b/src/test/java/loadbalancer/scale/model/FanOutModelTest.java
@@ -72,7 +72,7 @@
             SEED);
     assertEquals(result.expectedDeliveries(), result.deliveries());
     long outsideNanos = result.delays().get(EventKind.REGION_CUT.text()).getMaxValue();
-    assertTrue(outsideNanos < 10 * TimeUnits.NANOS_PER_SECOND, "worst: " + outsideNanos);
+    assertTrue(outsideNanos < 10 * Durations.NANOS_PER_SECOND, "worst: " + outsideNanos);
   }
 
   @Test
