--- a/src/main/java/loadbalancer/scale/ScaleCommand.java
+++ b/src/main/java/loadbalancer/scale/ScaleCommand.java
@@ -7,11 +7,14 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
+import java.util.function.BiFunction;
 import loadbalancer.scale.config.ConfigurationFileException;
 import loadbalancer.scale.config.ConfigurationLoader;
 import loadbalancer.scale.config.ScaleConfiguration;
 import loadbalancer.scale.experiment.Experiment;
 import loadbalancer.scale.experiment.ExperimentRegistry;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -33,6 +36,8 @@
     subcommands = ScaleCommand.Scale.class)
 public final class ScaleCommand implements Callable<Integer> {
 
+  private static final Logger LOG = LoggerFactory.getLogger(ScaleCommand.class);
+
   @Spec private CommandSpec spec;
 
   private ScaleCommand() {}
@@ -41,15 +46,17 @@
   public static void main(String[] arguments) {
     // The plots are drawn without a display.
     System.setProperty("java.awt.headless", "true");
-    System.exit(commandLine(System.out).execute(arguments));
+    System.exit(commandLine(System.out, ExperimentRegistry::configured).execute(arguments));
   }
 
   /**
    * Creates the parser of the command line.
    *
    * @param out receives the tables of results
+   * @param registry returns the experiments of a configuration, given the seed of the run
    */
-  static CommandLine commandLine(PrintStream out) {
+  static CommandLine commandLine(
+      PrintStream out, BiFunction<ScaleConfiguration, Long, List<Experiment>> registry) {
     CommandLine commandLine =
         new CommandLine(
             new ScaleCommand(),
@@ -57,7 +64,7 @@
               @Override
               public <K> K create(Class<K> type) throws Exception {
                 return type == Scale.class
-                    ? type.cast(new Scale(out))
+                    ? type.cast(new Scale(out, registry))
                     : CommandLine.defaultFactory().create(type);
               }
             });
@@ -78,11 +85,8 @@
       err.println(failure.getMessage());
       return CommandLine.ExitCode.USAGE;
     }
-    if (failure instanceof IOException) {
-      err.println(failure);
-    } else {
-      failure.printStackTrace(err);
-    }
+    LOG.atError().setCause(failure).log("run failed");
+    err.println(failure instanceof ExperimentFailedException ? failure.getMessage() : failure);
     return CommandLine.ExitCode.SOFTWARE;
   }
 
@@ -118,17 +122,20 @@
 
     @Spec private CommandSpec spec;
     private final PrintStream out;
+    private final BiFunction<ScaleConfiguration, Long, List<Experiment>> registry;
 
-    private Scale(PrintStream out) {
+    private Scale(
+        PrintStream out, BiFunction<ScaleConfiguration, Long, List<Experiment>> registry) {
       this.out = out;
+      this.registry = registry;
     }
 
     @Override
-    public Integer call() throws IOException, ConfigurationFileException {
+    public Integer call()
+        throws IOException, ConfigurationFileException, ExperimentFailedException {
       ScaleConfiguration configuration = loadConfiguration();
       long runSeed = seed == null ? configuration.seed() : seed;
-      List<Experiment> experiments =
-          selected(ExperimentRegistry.configured(configuration, runSeed));
+      List<Experiment> experiments = selected(registry.apply(configuration, runSeed));
       new ScaleRun(file, runSeed, reportDirectory, out).run(experiments);
       return CommandLine.ExitCode.OK;
     }
--- a/src/main/java/loadbalancer/scale/ScaleRun.java
+++ b/src/main/java/loadbalancer/scale/ScaleRun.java
@@ -45,8 +45,10 @@
    * leaves the results so far. The plots are drawn last.
    *
    * @throws IOException if the report or a plot cannot be written
+   * @throws ExperimentFailedException if an experiment throws an exception; the ones after it are
+   *     not run
    */
-  void run(List<Experiment> experiments) throws IOException {
+  void run(List<Experiment> experiments) throws IOException, ExperimentFailedException {
     JvmEnvironment environment = JvmEnvironment.current();
     LOG.atInfo()
         .addKeyValue("file", file)
@@ -70,7 +72,7 @@
     LOG.atInfo().addKeyValue("directory", reportDirectory).log("run completed");
   }
 
-  private static ExperimentReport run(Experiment experiment) {
+  private static ExperimentReport run(Experiment experiment) throws ExperimentFailedException {
     LOG.atInfo().addKeyValue("experiment", experiment.name()).log("experiment started");
     long startNanos = System.nanoTime();
     try (ProgressDisplay progress = ProgressDisplay.of(experiment.name())) {
@@ -80,6 +82,8 @@
           .addKeyValue("elapsedMs", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos))
           .log("experiment completed");
       return report;
+    } catch (RuntimeException | Error e) {
+      throw new ExperimentFailedException(experiment.name(), e);
     }
   }
 }
--- a/src/test/java/loadbalancer/scale/ScaleCommandTest.java
+++ b/src/test/java/loadbalancer/scale/ScaleCommandTest.java
@@ -13,6 +13,13 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
+import java.util.function.BiFunction;
+import java.util.function.DoubleConsumer;
+import loadbalancer.scale.config.ScaleConfiguration;
+import loadbalancer.scale.experiment.Experiment;
+import loadbalancer.scale.experiment.ExperimentRegistry;
+import loadbalancer.scale.report.ExperimentResult;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
@@ -50,8 +57,13 @@
   @TempDir private Path directory;
 
   private int execute(String... arguments) {
+    return execute(ExperimentRegistry::configured, arguments);
+  }
+
+  private int execute(
+      BiFunction<ScaleConfiguration, Long, List<Experiment>> registry, String... arguments) {
     CommandLine commandLine =
-        ScaleCommand.commandLine(new PrintStream(out, true, StandardCharsets.UTF_8));
+        ScaleCommand.commandLine(new PrintStream(out, true, StandardCharsets.UTF_8), registry);
     StringWriter usage = new StringWriter();
     commandLine.setOut(new PrintWriter(usage, true));
     commandLine.setErr(new PrintWriter(err, true));
@@ -114,4 +126,47 @@
     String file = write(ONE_SIZE);
     assertEquals(1, execute("scale", file, "--report", file));
   }
+
+  @Test
+  void experimentThatThrowsEndsWithStatusOneAndOneLineOnItsFirstCause() throws IOException {
+    Exception firstCause = new IllegalStateException("2 requests pending");
+    String message = "experiment failing failed: " + firstCause + System.lineSeparator();
+    assertEquals(1, executeFailing(new IllegalStateException("a trial failed", firstCause)));
+    assertEquals(message, err.toString());
+  }
+
+  @Test
+  void experimentThatThrowsAnErrorEndsWithStatusOneAndOneLine() throws IOException {
+    Error failure = new OutOfMemoryError("Java heap space");
+    assertEquals(1, executeFailing(failure));
+    assertEquals("experiment failing failed: " + failure + System.lineSeparator(), err.toString());
+  }
+
+  /** Runs one experiment that throws the failure, and returns the status. */
+  private int executeFailing(Throwable failure) throws IOException {
+    String report = directory.resolve("report").toString();
+    return execute(
+        (configuration, seed) -> List.of(new FailingExperiment(failure)),
+        "scale",
+        write(ONE_SIZE),
+        "--report",
+        report);
+  }
+
+  /** An experiment that throws an unchecked exception or an error. */
+  private record FailingExperiment(Throwable failure) implements Experiment {
+
+    @Override
+    public String name() {
+      return "failing";
+    }
+
+    @Override
+    public ExperimentResult run(DoubleConsumer progress) {
+      if (failure instanceof Error error) {
+        throw error;
+      }
+      throw (RuntimeException) failure;
+    }
+  }
 }
