--- a/src/main/java/loadbalancer/scale/config/ArrivalSettings.java
+++ b/src/main/java/loadbalancer/scale/config/ArrivalSettings.java
@@ -31,6 +31,9 @@
   public ArrivalSettings {
     FieldCheck.inRange(
         "requests-per-second", MIN_REQUESTS_PER_SECOND, MAX_REQUESTS_PER_SECOND, requestsPerSecond);
+    FieldCheck.present("keys", keys);
+    FieldCheck.present("routes", routes);
+    FieldCheck.present("tenants", tenants);
     FieldCheck.inRange("burst-multiple", 1, MAX_BURST_MULTIPLE, burstMultiple);
     FieldCheck.inRange("burst-ms", 0, MAX_BURST_MS, burstMs);
     FieldCheck.inRange(
--- a/src/main/java/loadbalancer/scale/config/ColdSettings.java
+++ b/src/main/java/loadbalancer/scale/config/ColdSettings.java
@@ -37,6 +37,10 @@
 
   /** Checks the fields. */
   public ColdSettings {
+    FieldCheck.present("balancer-counts", balancerCounts);
+    FieldCheck.present("arrivals", arrivals);
+    FieldCheck.present("balancers", balancers);
+    FieldCheck.present("upstreams", upstreams);
     balancerCounts = List.copyOf(balancerCounts);
     FieldCheck.inRange("balancer-counts: entries", 1, MAX_BALANCERS, balancerCounts.size());
     int minimum = balancers.zones();
--- a/src/test/java/loadbalancer/scale/config/ConfigurationLoaderTest.java
+++ b/src/test/java/loadbalancer/scale/config/ConfigurationLoaderTest.java
@@ -123,6 +123,20 @@
         messageFor(VALID.substring(0, VALID.indexOf("[list.change-mix]"))));
   }
 
+  @Test
+  void missingTablesOfTheExperimentColdAreReportedByTheirPath() throws IOException {
+    String text = Files.readString(Path.of("scale/cold.toml"));
+    assertEquals(
+        ": cold.balancer-counts: expected a value, got nothing",
+        messageFor(text.replaceFirst("balancer-counts = .*", "")));
+    assertEquals(
+        ": cold.arrivals.keys: expected a value, got nothing",
+        messageFor(text.replaceFirst("keys = .*", "")));
+    assertEquals(
+        ": cold.upstreams: expected a value, got nothing",
+        messageFor(text.substring(0, text.indexOf("[cold.upstreams]"))));
+  }
+
   @Test
   void valueOutOfRangeIsReportedWithAllowedAndActualValue() {
     assertEquals(
