--- a/src/main/java/loadbalancer/scale/model/PolicySettingsFactory.java
+++ b/src/main/java/loadbalancer/scale/model/PolicySettingsFactory.java
@@ -42,7 +42,8 @@
     shared = read(settings.toString());
   }
 
-  private static PolicySettings read(String json) {
+  /** Reads the settings of a policy from a JSON text of the model. */
+  static PolicySettings read(String json) {
     try {
       return PolicySettingsReader.read(JsonObjectReader.parse("settings", json));
     } catch (IOException e) {
--- a/src/main/java/loadbalancer/scale/model/SampledBalancer.java
+++ b/src/main/java/loadbalancer/scale/model/SampledBalancer.java
@@ -1,19 +1,14 @@
 package loadbalancer.scale.model;
 
 import io.netty.channel.embedded.EmbeddedChannel;
-import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import loadbalancer.config.EndpointList;
-import loadbalancer.config.JsonObjectReader;
-import loadbalancer.config.PolicySettingsReader;
 import loadbalancer.policy.AdaptiveLoadBalancingPolicy;
 import loadbalancer.policy.event.EndpointDescriptor;
 import loadbalancer.policy.event.EndpointListUpdate;
-import loadbalancer.policy.settings.PolicySettings;
 import loadbalancer.proxy.upstream.ConnectionLimits;
 import loadbalancer.proxy.upstream.EndpointTable;
 import loadbalancer.proxy.upstream.UpstreamConnectionPools;
@@ -53,7 +48,7 @@
             new UpstreamConnectionPools(
                 new EmbeddedChannel().eventLoop(),
                 new ConnectionLimits(TIMEOUT_NANOS, TIMEOUT_NANOS, MAX_CONNECTIONS)));
-    policy = new AdaptiveLoadBalancingPolicy(policySettings(), seed);
+    policy = new AdaptiveLoadBalancingPolicy(PolicySettingsFactory.read(POLICY_SETTINGS), seed);
   }
 
   /** Loads the list at the start, as from the configuration file. */
@@ -102,12 +97,4 @@
     // Without requests and failed watches the policy needs no timers.
     policy.handle(nowNanos, new EndpointListUpdate(kind, descriptors), action -> {});
   }
-
-  private static PolicySettings policySettings() {
-    try {
-      return PolicySettingsReader.read(JsonObjectReader.parse("settings", POLICY_SETTINGS));
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
-    }
-  }
 }
